--- a/src/main/java/routerfleet/data/AdmittedRequest.java
+++ b/src/main/java/routerfleet/data/AdmittedRequest.java
@@ -17,7 +17,7 @@
  */
 record AdmittedRequest(String id, RouteConfig route, String key, TenantConfig tenant, String backend,
         PromptPrefix prefix, long deadlineMs) {
-    private static final long DEFAULT_AIM_MS = 500;
+    private static final long DEFAULT_TARGET_LATENCY_MS = 500;
 
     /**
      * Reads a request against the configuration that is in force here.
@@ -25,56 +25,56 @@
      * @param receivedMs when its first byte was read, on the steady clock
      * @return why it is not taken, or what is known of it
      */
-    static Either<Refusal, AdmittedRequest> read(DataPlane plane, HttpRequest request, long receivedMs) {
+    static Either<ErrorResponse, AdmittedRequest> admit(DataPlane plane, HttpRequest request, long receivedMs) {
         RoutingTable table = plane.table();
         HttpHeaders headers = request.headers();
         if (!plane.hasConfiguration()) {
-            return Either.left(Refusal.notReady());
+            return Either.left(ErrorResponse.notReady());
         }
         RoutingTable.Route found = table.route(headers.get(HttpHeaderNames.HOST), request.uri());
         if (found == null) {
-            return Either.left(Refusal.fault(404, "no route"));
+            return Either.left(ErrorResponse.withoutRetry(404, "no route"));
         }
-        String id = headers.get(HopHeaders.ATTEMPT_ID);
+        String id = headers.get(ProxyHeaders.ATTEMPT_ID);
         if (id == null || id.isBlank()) {
-            return Either.left(Refusal.fault(400, "Rowanplank-Attempt-Id is missing"));
+            return Either.left(ErrorResponse.withoutRetry(400, "Rowanplank-Attempt-Id is missing"));
         }
         boolean keyed = table.hasTenants() && !found.config().isPublic();
         if (keyed && !plane.keysAreFresh()) {
-            return Either.left(Refusal.notReady());
+            return Either.left(ErrorResponse.notReady());
         }
-        String key = keyed ? headers.get(HopHeaders.API_KEY) : null;
+        String key = keyed ? headers.get(ProxyHeaders.API_KEY) : null;
         TenantConfig tenant = key == null ? null : table.tenant(key);
         if (keyed && tenant == null) {
-            return Either.left(Refusal.fault(401, "no such key"));
+            return Either.left(ErrorResponse.withoutRetry(401, "no such key"));
         }
         return Either.right(new AdmittedRequest(id, found.config(), key, tenant, found.backend(plane.lot()),
-                PromptPrefix.parse(headers.get(HopHeaders.PROMPT_PREFIX)),
-                receivedMs + timeAllowed(headers.get(HopHeaders.DEADLINE), found.config().timeoutMs())));
+                PromptPrefix.parse(headers.get(ProxyHeaders.PROMPT_PREFIX)),
+                receivedMs + allowedMs(headers.get(ProxyHeaders.DEADLINE), found.config().timeoutMs())));
     }
 
-    private static long timeAllowed(String header, long timeoutMs) {
-        long told = timeoutMs;
+    private static long allowedMs(String header, long timeoutMs) {
+        long requestedMs = timeoutMs;
         try {
-            told = header == null ? timeoutMs : (long) Double.parseDouble(header.strip());
+            requestedMs = header == null ? timeoutMs : (long) Double.parseDouble(header.strip());
         } catch (NumberFormatException e) {
             // as if the client had said nothing
         }
-        return Math.max(1, Math.min(told, timeoutMs));
+        return Math.max(1, Math.min(requestedMs, timeoutMs));
     }
 
     /** The time within which an answer earns its full worth, in milliseconds. */
-    long aimMs() {
-        return route.targetLatencyMs() > 0 ? route.targetLatencyMs() : DEFAULT_AIM_MS;
+    long targetLatencyMs() {
+        return route.targetLatencyMs() > 0 ? route.targetLatencyMs() : DEFAULT_TARGET_LATENCY_MS;
     }
 
     /** What the choice of a server is made by. */
-    PromptProfile profile() {
-        return new PromptProfile(route.name(), prefix, aimMs());
+    PromptProfile promptProfile() {
+        return new PromptProfile(route.name(), prefix, targetLatencyMs());
     }
 
     /** Whether the key still holds: the process may have stood still since it was checked. */
-    boolean keyHolds(DataPlane plane) {
+    boolean isKeyStillValid(DataPlane plane) {
         return tenant == null || plane.keysAreFresh() && plane.table().tenant(key) != null;
     }
 }
--- a/src/main/java/routerfleet/data/ClientConnection.java
+++ b/src/main/java/routerfleet/data/ClientConnection.java
@@ -35,7 +35,7 @@
  * A client's connection: reads requests whole, one at a time, and writes their answers. What comes while a request is
  * open waits, and reading stops until it is its turn.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientReply {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientResponseWriter {
     /** How long after an answer that ends the connection unread bytes may still come before it is closed. */
     private static final long LINGER_MS = 200;
 
@@ -177,7 +177,7 @@
         request = null;
         keepAlive = false;
         headOnly = false;
-        respond(status, HopHeaders.fresh(), (text + "\n").getBytes(StandardCharsets.US_ASCII));
+        respond(status, ProxyHeaders.withoutValidation(), (text + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     // ---- the answer
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void streamPiece(byte[] bytes) {
+    public void writeChunk(byte[] bytes) {
         context.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)), context.voidPromise());
     }
 
--- a/src/main/java/routerfleet/data/ClientReply.java
+++ b/src/main/java/routerfleet/data/ClientResponseWriter.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** The way back to the client of one request. Exactly one answer is given, whole or broken off. */
-interface ClientReply {
+interface ClientResponseWriter {
     /** A whole answer. */
     void respond(int status, HttpHeaders headers, byte[] body);
 
@@ -12,7 +12,7 @@
     void startStream(HttpResponse head);
 
     /** A piece of the body. */
-    void streamPiece(byte[] bytes);
+    void writeChunk(byte[] bytes);
 
     /** The body is whole. */
     void endStream();
--- a/src/main/java/routerfleet/data/EventParser.java
+++ b/src/main/java/routerfleet/data/EventStreamParser.java
@@ -6,14 +6,14 @@
 
 /**
  * Cuts a {@code text/event-stream} (WHATWG HTML, section 9.2) into whole events, whatever the pieces in which it comes.
- * Bound: an event of {@value #MOST_EVENT_BYTES} bytes.
+ * Bound: an event of {@value #MAX_EVENT_BYTES} bytes.
  */
-final class EventParser {
-    private static final int MOST_EVENT_BYTES = 1 << 20;
-    private static final int FIRST_BYTES = 512;
+final class EventStreamParser {
+    private static final int MAX_EVENT_BYTES = 1 << 20;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     /** Who gets events. */
-    interface Sink {
+    interface EventConsumer {
         /**
          * @param bytes the event as it came, with the empty line that ends it
          * @param id its number; negative where it has none
@@ -21,32 +21,32 @@
         void event(byte[] bytes, long id);
     }
 
-    private byte[] buffer = new byte[FIRST_BYTES];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int length;
     private int scanned;
 
     /** Whether a part of an event is waiting for its end. */
-    boolean hasPart() {
+    boolean hasPartialEvent() {
         return length > 0;
     }
 
     /** Takes a piece in. @return false where an event is too long */
-    boolean feed(ByteBuf piece, Sink sink) {
-        int added = piece.readableBytes();
-        if (length + added > MOST_EVENT_BYTES) {
+    boolean feed(ByteBuf chunk, EventConsumer consumer) {
+        int added = chunk.readableBytes();
+        if (length + added > MAX_EVENT_BYTES) {
             return false;
         }
         if (length + added > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + added));
         }
-        piece.readBytes(buffer, length, added);
+        chunk.readBytes(buffer, length, added);
         length += added;
         int start = 0;
         for (int i = scanned; i < length; i++) {
             if (buffer[i] == '\n' && endsEvent(start, i)) {
                 byte[] event = Arrays.copyOfRange(buffer, start, i + 1);
                 start = i + 1;
-                sink.event(event, id(event));
+                consumer.event(event, parseId(event));
             }
         }
         System.arraycopy(buffer, start, buffer, 0, length - start);
@@ -63,11 +63,11 @@
         return before >= start && buffer[before] == '\n';
     }
 
-    private static long id(byte[] event) {
+    private static long parseId(byte[] event) {
         String text = new String(event, StandardCharsets.ISO_8859_1);
         for (int at = 0; at >= 0 && at < text.length(); at = text.indexOf('\n', at) + 1) {
             if (text.startsWith("id:", at)) {
-                return number(text, at + 3);
+                return parseNumber(text, at + 3);
             }
             if (text.indexOf('\n', at) < 0) {
                 break;
@@ -76,7 +76,7 @@
         return -1;
     }
 
-    private static long number(String text, int from) {
+    private static long parseNumber(String text, int from) {
         int at = from;
         while (at < text.length() && text.charAt(at) == ' ') {
             at++;
--- a/src/main/java/routerfleet/data/Exchange.java
+++ b/src/main/java/routerfleet/data/Exchange.java
@@ -36,7 +36,7 @@
     private static final double SILENT_PART = 1.0 / 3;
 
     private final DataPlane plane;
-    private final ClientReply reply;
+    private final ClientResponseWriter reply;
     private final HttpRequest request;
     private final byte[] body;
     private final long receivedMs;
@@ -51,7 +51,7 @@
     private boolean done;
 
     /** @param receivedMs when the request's first byte was read, on the steady clock */
-    Exchange(DataPlane plane, ClientReply reply, HttpRequest request, byte[] body, long receivedMs) {
+    Exchange(DataPlane plane, ClientResponseWriter reply, HttpRequest request, byte[] body, long receivedMs) {
         this.plane = plane;
         this.reply = reply;
         this.request = request;
@@ -64,7 +64,7 @@
 
     void start() {
         plane.opened(this);
-        Either<Refusal, AdmittedRequest> read = AdmittedRequest.read(plane, request, receivedMs);
+        Either<ErrorResponse, AdmittedRequest> read = AdmittedRequest.admit(plane, request, receivedMs);
         if (read.isLeft()) {
             answer(read.getLeft());
             return;
@@ -75,7 +75,7 @@
         if (admitted.tenant() == null) {
             send();
         } else {
-            double cost = QuotaClient.cost(admitted.tenant(), request.headers().get(HopHeaders.TOKEN_USAGE));
+            double cost = QuotaClient.cost(admitted.tenant(), request.headers().get(ProxyHeaders.TOKEN_USAGE));
             plane.quotas().admit(admitted.tenant(), cost, this::quotaDecided);
         }
     }
@@ -92,9 +92,9 @@
         if (admission.outcome() == QuotaClient.Outcome.ADMITTED) {
             send();
         } else if (admission.outcome() == QuotaClient.Outcome.DENIED) {
-            answer(Refusal.overLimit(admission.waitMs(), admitted.aimMs()));
+            answer(ErrorResponse.rateLimited(admission.waitMs(), admitted.targetLatencyMs()));
         } else {
-            answer(Refusal.noRoom(admitted.aimMs()));
+            answer(ErrorResponse.noCapacity(admitted.targetLatencyMs()));
         }
         return true;
     }
@@ -111,7 +111,7 @@
         int capacity = pool.size() == 0 ? 0 : pool.servers().get(0).capacity();
         int limit = plane.inFlightLimit(admitted.backend(), capacity);
         pool.coldAdmission().chance(plane.coldChance(admitted.backend()));
-        Server server = pool.choose(admitted.profile(), limit, tried, now);
+        Server server = pool.choose(admitted.promptProfile(), limit, tried, now);
         if (server == null) {
             giveUp();
             return;
@@ -119,7 +119,7 @@
         tried.add(server);
         attempt = new Attempt(server, pool.coldAdmission().claim(server, now));
         server.sent(now);
-        Server.Idle idle = server.takeIdle(now, pool.restLimit().longestRestMs(now));
+        Server.Idle idle = server.takeIdle(now, pool.restLimit().maxIdleMs(now));
         if (idle != null) {
             attempt.restedMs = now - idle.sinceMs();
             attempt.sendOn(idle.connection());
@@ -163,7 +163,7 @@
     // ---- one send
 
     /** One send of the request to a server, and what comes of it. */
-    private final class Attempt implements UpstreamConnection.Receiver {
+    private final class Attempt implements UpstreamConnection.ResponseReceiver {
         private final Server server;
         /** The permission that it took where its server was cold. */
         private final long claimed;
@@ -174,7 +174,7 @@
         private HttpResponse head;
         private boolean notExecuted;
         private boolean streams;
-        private EventParser parser;
+        private EventStreamParser parser;
         private ByteArrayOutputStream whole;
         private double firstMs;
         private boolean ended;
@@ -185,7 +185,7 @@
         }
 
         void sendOn(UpstreamConnection on) {
-            if (!admitted.keyHolds(plane)) {
+            if (!admitted.isKeyStillValid(plane)) {
                 on.channel().close();
                 end();
                 giveUp();
@@ -200,14 +200,14 @@
             sentMs = SteadyClock.millis();
             pool().coldAdmission().chance(plane.coldChance(admitted.backend()));
             if (!pool().coldAdmission().holds(server, claimed, sentMs)) {
-                on.rest(sentMs);
+                on.release(sentMs);
                 end();
                 Exchange.this.send();
                 return;
             }
             connection = on;
             sends++;
-            on.send(OutgoingRequest.build(request, body, admitted, server, relay.lastEventId(), leftMs()), admitted.id(),
+            on.send(UpstreamRequest.build(request, body, admitted, server, relay.lastEventId(), leftMs()), admitted.id(),
                     this);
         }
 
@@ -236,19 +236,19 @@
         @Override
         public void head(HttpResponse response) {
             head = response;
-            String warmup = response.headers().get(HopHeaders.WARMUP);
+            String warmup = response.headers().get(ProxyHeaders.WARMUP);
             if (warmup != null) {
-                server.warmth().answered(HopHeaders.milliseconds(warmup), SteadyClock.millis());
+                server.warmth().answered(ProxyHeaders.parseMillis(warmup), SteadyClock.millis());
             }
-            notExecuted = response.headers().contains(HopHeaders.NOT_EXECUTED) || response.status().code() == 421;
+            notExecuted = response.headers().contains(ProxyHeaders.NOT_EXECUTED) || response.status().code() == 421;
             boolean success = response.status().code() / 100 == 2;
-            if (success && !response.headers().contains(HopHeaders.SIGNATURE)) {
+            if (success && !response.headers().contains(ProxyHeaders.SIGNATURE)) {
                 breakOff("a success without a signature");
                 return;
             }
             streams = success && admitted.route().streaming() && UpstreamConnection.isEventStream(response);
             if (streams) {
-                parser = new EventParser();
+                parser = new EventStreamParser();
             } else {
                 whole = new ByteArrayOutputStream();
             }
@@ -278,7 +278,7 @@
             if (firstMs == 0) {
                 firstMs = Math.max(1, SteadyClock.millis() - sentMs);
             }
-            if (!relay.event(head, bytes, eventId, sends > 1)) {
+            if (!relay.forward(head, bytes, eventId, sends > 1)) {
                 breakOff("events are missing");
             } else if (!reply.isWritable()) {
                 connection.channel().config().setAutoRead(false);
@@ -290,8 +290,8 @@
             if (ended) {
                 return;
             }
-            if (streams && parser.hasPart()) {
-                broken("the stream ends inside an event");
+            if (streams && parser.hasPartialEvent()) {
+                failed("the stream ends inside an event");
                 return;
             }
             end();
@@ -300,10 +300,10 @@
             } else if (streams) {
                 server.succeeded();
                 learn(this, latencyMs(), true);
-                relay.start(head);
+                relay.writeHead(head);
                 finish();
                 reply.endStream();
-            } else if (relay.started()) {
+            } else if (relay.hasStarted()) {
                 server.erred(SteadyClock.millis());
                 cutOff();
             } else {
@@ -333,8 +333,8 @@
                 server.succeeded();
                 learn(this, latencyMs(), success);
             }
-            HttpHeaders headers = HopHeaders.fresh().set(head.headers());
-            HopHeaders.strip(headers);
+            HttpHeaders headers = ProxyHeaders.withoutValidation().set(head.headers());
+            ProxyHeaders.removeHopByHop(headers);
             mayHaveRun = true;
             finish();
             reply.respond(head.status().code(), headers, whole.toByteArray());
@@ -342,11 +342,11 @@
 
         private void breakOff(String why) {
             connection.abandon();
-            broken(why);
+            failed(why);
         }
 
         @Override
-        public void broken(String why) {
+        public void failed(String why) {
             if (ended) {
                 return;
             }
@@ -354,7 +354,7 @@
             mayHaveRun = true;
             long now = SteadyClock.millis();
             if (head == null) {
-                pool().restLimit().lost(restedMs, now);
+                pool().restLimit().connectionLost(restedMs, now);
             }
             server.erred(now);
             learn(this, penaltyMs(), false);
@@ -373,7 +373,7 @@
     }
 
     private double penaltyMs() {
-        return FAILURE_AIMS * admitted.aimMs();
+        return FAILURE_AIMS * admitted.targetLatencyMs();
     }
 
     private ServerPool pool() {
@@ -381,24 +381,24 @@
     }
 
     private void learn(Attempt of, double latencyMs, boolean success) {
-        pool().learn(admitted.profile(), of.server, latencyMs, success);
+        pool().learn(admitted.promptProfile(), of.server, latencyMs, success);
     }
 
     // ---- ends
 
     /** No server has answered, and none will be asked any more. */
     private void giveUp() {
-        if (relay.started()) {
+        if (relay.hasStarted()) {
             cutOff();
         } else if (mayHaveRun) {
-            answer(Refusal.fault(502, "the server gave no whole answer"));
+            answer(ErrorResponse.withoutRetry(502, "the server gave no whole answer"));
         } else {
             answer(refusal());
         }
     }
 
-    private Refusal refusal() {
-        return admitted.keyHolds(plane) ? Refusal.noRoom(admitted.aimMs()) : Refusal.notReady();
+    private ErrorResponse refusal() {
+        return admitted.isKeyStillValid(plane) ? ErrorResponse.noCapacity(admitted.targetLatencyMs()) : ErrorResponse.notReady();
     }
 
     private void cutOff() {
@@ -417,10 +417,10 @@
             }
             learn(attempt, penaltyMs(), false);
         }
-        if (relay.started()) {
+        if (relay.hasStarted()) {
             cutOff();
         } else if (mayHaveRun) {
-            answer(Refusal.fault(504, "no answer in time"));
+            answer(ErrorResponse.withoutRetry(504, "no answer in time"));
         } else {
             answer(refusal());
         }
@@ -441,7 +441,7 @@
             Attempt silent = attempt;
             silent.server.failed(nowMs);
             silent.connection.abandon();
-            silent.broken("silent");
+            silent.failed("silent");
         }
     }
 
@@ -460,14 +460,14 @@
     /** The node is about to end: what has not been sent is refused. */
     void shutDown() {
         boolean sent = attempt != null && attempt.connection != null;
-        if (!done && admitted != null && !sent && !mayHaveRun && !relay.started()) {
+        if (!done && admitted != null && !sent && !mayHaveRun && !relay.hasStarted()) {
             answer(refusal());
         }
     }
 
-    private void answer(Refusal refusal) {
+    private void answer(ErrorResponse refusal) {
         finish();
-        refusal.to(reply);
+        refusal.writeTo(reply);
     }
 
     private void finish() {
--- a/src/main/java/routerfleet/data/HopHeaders.java
+++ b/src/main/java/routerfleet/data/ProxyHeaders.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1), and the fleet's own. */
-final class HopHeaders {
+final class ProxyHeaders {
     static final AsciiString ATTEMPT_ID = AsciiString.cached("Rowanplank-Attempt-Id");
     static final AsciiString DEADLINE = AsciiString.cached("Rowanplank-Deadline-Ms");
     static final AsciiString API_KEY = AsciiString.cached("Api-Key");
@@ -27,10 +27,10 @@
             HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.PROXY_AUTHENTICATE,
             HttpHeaderNames.PROXY_AUTHORIZATION, AsciiString.cached("Proxy-Connection"), HttpHeaderNames.EXPECT);
 
-    private HopHeaders() { }
+    private ProxyHeaders() { }
 
     /** The whole milliseconds of a header; 0 where it holds no number. */
-    static long milliseconds(String value) {
+    static long parseMillis(String value) {
         try {
             return (long) Double.parseDouble(value.strip());
         } catch (NumberFormatException e) {
@@ -39,12 +39,12 @@
     }
 
     /** Headers without any checks: what is put in has been checked as it was read. */
-    static HttpHeaders fresh() {
+    static HttpHeaders withoutValidation() {
         return DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
     }
 
     /** Takes out what concerns one connection only, and what {@code Connection} names. */
-    static void strip(HttpHeaders headers) {
+    static void removeHopByHop(HttpHeaders headers) {
         for (String line : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : line.split(",")) {
                 String token = name.strip().toLowerCase(Locale.ROOT);
--- a/src/main/java/routerfleet/data/ServerPool.java
+++ b/src/main/java/routerfleet/data/ServerPool.java
@@ -44,7 +44,7 @@
     }
 
     private final SplittableRandom random;
-    private final RestLimit restLimit = new RestLimit();
+    private final IdleReuseLimit restLimit = new IdleReuseLimit();
     private final ColdAdmission coldAdmission;
     private final List<Server> servers = new ArrayList<>();
     private final Map<String, ClassNetwork> classes = new HashMap<>();
@@ -62,7 +62,7 @@
     }
 
     /** For how long connections to its servers may rest. */
-    RestLimit restLimit() {
+    IdleReuseLimit restLimit() {
         return restLimit;
     }
 
@@ -129,7 +129,7 @@
     /** One answer of a server, or how long a failure counts as, in milliseconds. */
     void learn(PromptProfile profile, Server server, double latencyMs, boolean ok) {
         if (!profile.isLong() && groups.canSeparate()) {
-            separation.answered(server.isKeptForShort(), latencyMs, profile.aimMs());
+            separation.answered(server.isKeptForShort(), latencyMs, profile.targetLatencyMs());
         }
         ClassNetwork network = network(profile.requestClass());
         Neuron neuron = network.neurons.get(server);
--- a/src/main/java/routerfleet/data/StreamRelay.java
+++ b/src/main/java/routerfleet/data/StreamRelay.java
@@ -11,16 +11,16 @@
  * answer keeps the head of its first server.
  */
 final class StreamRelay {
-    private final ClientReply reply;
+    private final ClientResponseWriter writer;
     private boolean started;
     private long lastEventId = -1;
 
-    StreamRelay(ClientReply reply) {
-        this.reply = reply;
+    StreamRelay(ClientResponseWriter reply) {
+        this.writer = reply;
     }
 
     /** Whether the client has been sent a head. */
-    boolean started() {
+    boolean hasStarted() {
         return started;
     }
 
@@ -30,16 +30,16 @@
     }
 
     /** Sends the head, the first time. */
-    void start(HttpResponse head) {
+    void writeHead(HttpResponse head) {
         if (started) {
             return;
         }
         started = true;
-        HttpHeaders headers = HopHeaders.fresh().set(head.headers());
-        HopHeaders.strip(headers);
+        HttpHeaders headers = ProxyHeaders.withoutValidation().set(head.headers());
+        ProxyHeaders.removeHopByHop(headers);
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
         headers.set(HttpHeaderNames.TRANSFER_ENCODING, "chunked");
-        reply.startStream(new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers));
+        writer.startStream(new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status(), headers));
     }
 
     /**
@@ -48,7 +48,7 @@
      * @param resumed whether it comes from another server than the first
      * @return false where events before it are missing
      */
-    boolean event(HttpResponse head, byte[] bytes, long eventId, boolean resumed) {
+    boolean forward(HttpResponse head, byte[] bytes, long eventId, boolean resumed) {
         boolean numbered = eventId >= 0 && lastEventId >= 0;
         if (numbered && eventId <= lastEventId) {
             return true;
@@ -56,11 +56,11 @@
         if (numbered && resumed && started && eventId > lastEventId + 1) {
             return false;
         }
-        start(head);
+        writeHead(head);
         if (eventId >= 0) {
             lastEventId = eventId;
         }
-        reply.streamPiece(bytes);
+        writer.writeChunk(bytes);
         return true;
     }
 }
--- a/src/main/java/routerfleet/data/UpstreamConnection.java
+++ b/src/main/java/routerfleet/data/UpstreamConnection.java
@@ -27,16 +27,16 @@
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
     /** A part of the usual objectives, so that another server can still answer within them. */
     private static final int CONNECT_TIMEOUT_MS = 250;
-    private static final int MOST_LINE_BYTES = 8 << 10;
-    private static final int MOST_HEADER_BYTES = 32 << 10;
-    private static final int MOST_CHUNK_BYTES = 32 << 10;
-    private static final long USABLE_IDLE_MS = 20_000;
+    private static final int MAX_LINE_BYTES = 8 << 10;
+    private static final int MAX_HEADER_BYTES = 32 << 10;
+    private static final int MAX_CHUNK_BYTES = 32 << 10;
+    private static final long DEFAULT_IDLE_TIMEOUT_MS = 20_000;
     private static final long KEEP_ALIVE_MARGIN_MS = 400;
-    private static final int MOST_TIMEOUT_DIGITS = 6;
-    private static final int MOST_PASSED_OVER = 2;
+    private static final int MAX_TIMEOUT_DIGITS = 6;
+    private static final int MAX_SKIPPED_RESPONSES = 2;
 
-    /** Who gets an answer. Every answer ends with {@link #complete} or {@link #broken}. */
-    interface Receiver {
+    /** Who gets an answer. Every answer ends with {@link #complete} or {@link #failed}. */
+    interface ResponseReceiver {
         /** The head of the answer. */
         void head(HttpResponse response);
 
@@ -47,18 +47,18 @@
         void complete();
 
         /** No whole answer will come; the request may have run. */
-        void broken(String why);
+        void failed(String why);
     }
 
     private final Server server;
     private Channel channel;
-    private Receiver receiver;
+    private ResponseReceiver receiver;
     private String expectedId;
-    private boolean inAnswer;
-    private boolean passingOver;
-    private int passedOver;
+    private boolean inResponse;
+    private boolean skipping;
+    private int skippedResponses;
     private boolean reusable;
-    private long usableIdleMs = USABLE_IDLE_MS;
+    private long idleTimeoutMs = DEFAULT_IDLE_TIMEOUT_MS;
 
     private UpstreamConnection(Server server) {
         this.server = server;
@@ -75,8 +75,8 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         connection.channel = channel;
-                        channel.pipeline().addLast(new HttpClientCodec(MOST_LINE_BYTES, MOST_HEADER_BYTES,
-                                MOST_CHUNK_BYTES, false), connection);
+                        channel.pipeline().addLast(new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES,
+                                MAX_CHUNK_BYTES, false), connection);
                     }
                 }).connect(server.address().socketAddress());
         connected.channel().closeFuture().addListener(closed -> server.connectionClosed(connection));
@@ -93,12 +93,12 @@
     }
 
     /** Sends a request. @param id that the answer has to carry, if it carries any */
-    void send(FullHttpRequest request, String id, Receiver to) {
-        receiver = to;
+    void send(FullHttpRequest request, String id, ResponseReceiver responseReceiver) {
+        receiver = responseReceiver;
         expectedId = id;
-        inAnswer = false;
-        passingOver = false;
-        passedOver = 0;
+        inResponse = false;
+        skipping = false;
+        skippedResponses = 0;
         reusable = true;
         channel.writeAndFlush(request).addListener(written -> {
             if (!written.isSuccess()) {
@@ -122,26 +122,26 @@
                 return;
             }
             if (message instanceof HttpResponse response) {
-                onHead(response);
+                handleHead(response);
             }
             if (message instanceof HttpContent content && receiver != null) {
-                onContent(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void onHead(HttpResponse response) {
+    private void handleHead(HttpResponse response) {
         if (response.decoderResult().isFailure()) {
             fail("not an answer in the protocol");
             return;
         }
-        inAnswer = true;
-        String id = response.headers().get(HopHeaders.ATTEMPT_ID);
-        passingOver = id != null && !id.equals(expectedId);
-        if (passingOver) {
-            if (++passedOver > MOST_PASSED_OVER) {
+        inResponse = true;
+        String id = response.headers().get(ProxyHeaders.ATTEMPT_ID);
+        skipping = id != null && !id.equals(expectedId);
+        if (skipping) {
+            if (++skippedResponses > MAX_SKIPPED_RESPONSES) {
                 fail("answers to other requests");
             }
             return;
@@ -153,7 +153,7 @@
             return;
         }
         reusable = HttpUtil.isKeepAlive(response);
-        usableIdleMs = keepAliveMs(response);
+        idleTimeoutMs = keepAliveMs(response);
         receiver.head(response);
     }
 
@@ -161,37 +161,37 @@
         String keepAlive = response.headers().get("Keep-Alive");
         int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
         if (at < 0) {
-            return USABLE_IDLE_MS;
+            return DEFAULT_IDLE_TIMEOUT_MS;
         }
         int from = at + "timeout=".length();
         int to = from;
         while (to < keepAlive.length() && keepAlive.charAt(to) >= '0' && keepAlive.charAt(to) <= '9') {
             to++;
         }
-        return to == from || to - from > MOST_TIMEOUT_DIGITS ? USABLE_IDLE_MS
+        return to == from || to - from > MAX_TIMEOUT_DIGITS ? DEFAULT_IDLE_TIMEOUT_MS
                 : Math.max(0, Long.parseLong(keepAlive, from, to, 10) * 1_000 - KEEP_ALIVE_MARGIN_MS);
     }
 
-    private void onContent(HttpContent content) {
-        if (content.decoderResult().isFailure() || !inAnswer) {
+    private void handleContent(HttpContent content) {
+        if (content.decoderResult().isFailure() || !inResponse) {
             fail("not an answer in the protocol");
             return;
         }
-        if (!passingOver && content.content().isReadable()) {
+        if (!skipping && content.content().isReadable()) {
             receiver.content(content.content());
         }
         if (receiver == null || !(content instanceof LastHttpContent)) {
             return;
         }
-        inAnswer = false;
-        if (passingOver) {
-            passingOver = false;
+        inResponse = false;
+        if (skipping) {
+            skipping = false;
             return;
         }
-        Receiver done = receiver;
+        ResponseReceiver done = receiver;
         receiver = null;
         if (reusable) {
-            rest(SteadyClock.millis());
+            release(SteadyClock.millis());
         } else {
             channel.close();
         }
@@ -199,20 +199,20 @@
     }
 
     /** No request needs it now: it waits for the next one. */
-    void rest(long nowMs) {
+    void release(long nowMs) {
         if (server.listed()) {
-            server.putIdle(this, nowMs, nowMs + usableIdleMs);
+            server.putIdle(this, nowMs, nowMs + idleTimeoutMs);
         } else {
             channel.close();
         }
     }
 
-    private void fail(String why) {
-        Receiver waiting = receiver;
+    private void fail(String reason) {
+        ResponseReceiver waiting = receiver;
         receiver = null;
         channel.close();
         if (waiting != null) {
-            waiting.broken(why);
+            waiting.failed(reason);
         }
     }
 
--- a/src/test/java/routerfleet/data/ChooserSimulation.java
+++ b/src/test/java/routerfleet/data/ChooserSimulation.java
@@ -195,7 +195,7 @@
             server.succeeded();
             node.outcomes++;
             node.pool.learn(profile, server, firstMs, true);
-            count(profile, firstMs <= profile.aimMs());
+            count(profile, firstMs <= profile.targetLatencyMs());
         }
 
         @Override
@@ -203,7 +203,7 @@
             server.ended();
             server.erred((long) nowMs);
             node.outcomes++;
-            node.pool.learn(profile, server, FAILURE_AIMS * profile.aimMs(), false);
+            node.pool.learn(profile, server, FAILURE_AIMS * profile.targetLatencyMs(), false);
             count(profile, false);
         }
     }
--- a/src/test/java/routerfleet/data/EventParserTest.java
+++ b/src/test/java/routerfleet/data/EventStreamParserTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Events cut out of a stream of bytes. */
-class EventParserTest {
+class EventStreamParserTest {
     private static final String TEXT =
             "id: 4\ndata: a\n\nid:5\r\ndata: b\r\n\r\nversions: 3\nid: 6\ndata: c\n\ndata: d\n\nid: 9";
 
@@ -18,7 +18,7 @@
     void findsTheSameEventsHoweverTheBytesAreCut() {
         byte[] bytes = TEXT.getBytes(StandardCharsets.US_ASCII);
         for (int size = 1; size <= bytes.length; size++) {
-            EventParser parser = new EventParser();
+            EventStreamParser parser = new EventStreamParser();
             List<String> events = new ArrayList<>();
             List<Long> ids = new ArrayList<>();
             for (int at = 0; at < bytes.length; at += size) {
@@ -29,13 +29,13 @@
             }
             assertThat(ids, is(List.of(4L, 5L, 6L, -1L)));
             assertThat(String.join("", events) + "id: 9", is(TEXT));
-            assertThat(parser.hasPart(), is(true));
+            assertThat(parser.hasPartialEvent(), is(true));
         }
     }
 
     @Test
     void anEventWithoutEndIsBounded() {
-        EventParser parser = new EventParser();
+        EventStreamParser parser = new EventStreamParser();
         byte[] piece = new byte[600_000];
         assertThat(parser.feed(Unpooled.wrappedBuffer(piece), (event, id) -> { }), is(true));
         assertThat(parser.feed(Unpooled.wrappedBuffer(piece), (event, id) -> { }), is(false));
