--- a/src/main/java/routerfleet/control/ControlParts.java
+++ b/src/main/java/routerfleet/control/ControlParts.java
@@ -2,8 +2,8 @@
 
 import java.time.Instant;
 import java.util.concurrent.Executor;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.RaftNode;
+import rowanplank.agreement.PersistentState;
 import routerfleet.config.ConfigStore;
 import routerfleet.settings.LocalSettings;
 import routerfleet.wire.Scheduler;
@@ -28,8 +28,8 @@
         this.examiners = examiners;
     }
 
-    Agreement agreement(Agreement.Settings settings, Saved saved, Instant now, Agreement.Actions actions) {
-        return new Agreement(settings, saved, now, actions);
+    RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+        return new RaftNode(settings, saved, now, actions);
     }
 
     ReplicaPlanner planner(String self) {
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import rowanplank.agreement.Message;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import routerfleet.config.ConfigOrder;
 import routerfleet.config.Evacuations;
 import routerfleet.log.Loggers;
@@ -62,7 +62,7 @@
     private final QuotaGrantor quotas;
     private final SessionTable table;
     private final TallyService tallies;
-    private Saved saved;
+    private PersistentState saved;
     private String replica;
     private ReplicaGroup replicas;
     private ReplicaPlanner planner;
@@ -119,11 +119,11 @@
         List<String> founders = settings.seeds().stream().map(seed -> ReplicaNames.founder(seed.host())).toList();
         if (settings.bootstrap() && founders.contains(ReplicaNames.founder(settings.ip()))) {
             replica = ReplicaNames.founder(settings.ip());
-            saved = Saved.nothing(founders);
+            saved = PersistentState.initial(founders);
             storage.found(replica, saved);
         } else {
             replica = parts.freshReplica(settings.ip(), numbers.getAsLong());
-            saved = Saved.nothing(List.of());
+            saved = PersistentState.initial(List.of());
             storage.start(replica, saved);
         }
     }
--- a/src/main/java/routerfleet/control/ReplicaGroup.java
+++ b/src/main/java/routerfleet/control/ReplicaGroup.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import rowanplank.agreement.Agreement;
+import rowanplank.agreement.RaftNode;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Membership;
+import rowanplank.agreement.VoterConfig;
 import rowanplank.agreement.Message;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 import routerfleet.config.ConfigChange;
@@ -26,7 +26,7 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * This node's replica of the configuration shard: drives {@link Agreement}, applies what is committed to the
+ * This node's replica of the configuration shard: drives {@link RaftNode}, applies what is committed to the
  * {@link ConfigStore}, takes orders while it leads, and knows up to when everything acknowledged is known here. For one
  * thread, the scheduler's.
  */
@@ -68,7 +68,7 @@
     private final ReplicaStorage storage;
     private final Surroundings surroundings;
     private final ConfigStore store;
-    private final Agreement agreement;
+    private final RaftNode agreement;
     private final CommittedMessages committed;
     private final DeferredTasks deferred = new DeferredTasks();
     private final OrderQueue orders;
@@ -86,7 +86,7 @@
      * @param self the replica's name
      * @param saved what is on its disk
      */
-    ReplicaGroup(Scheduler scheduler, PeerCodec codec, String self, Saved saved, ReplicaStorage storage, long seed,
+    ReplicaGroup(Scheduler scheduler, PeerCodec codec, String self, PersistentState saved, ReplicaStorage storage, long seed,
             Surroundings surroundings, ControlParts parts) {
         this.scheduler = scheduler;
         timer = new AgreementTimer(scheduler, this::onTime);
@@ -99,8 +99,8 @@
         this.storage = storage;
         this.surroundings = surroundings;
         restore(saved.snapshot());
-        agreement = parts.agreement(new Agreement.Settings(self, ELECTION, FIRST_ELECTION, HEARTBEAT, MOST_MESSAGE_BYTES,
-                MOST_UNDECIDED, Agreement.Transport.CONNECTIONS, seed), saved, scheduler.now(), new AgreementActions());
+        agreement = parts.agreement(new RaftNode.Settings(self, ELECTION, FIRST_ELECTION, HEARTBEAT, MOST_MESSAGE_BYTES,
+                MOST_UNDECIDED, RaftNode.Transport.CONNECTIONS, seed), saved, scheduler.now(), new AgreementActions());
         timer.set(agreement.due());
     }
 
@@ -120,7 +120,7 @@
      * others, so that nobody takes a node for repaired that the group does not count on.
      */
     boolean answersReads() {
-        Membership membership = agreement.membership();
+        VoterConfig membership = agreement.voterConfig();
         return !halted && membership.voters().contains(self)
                 && (!membership.isJoint() || membership.outgoing().contains(self));
     }
@@ -128,36 +128,36 @@
     /** Its part in the group, in one line. */
     String describe() {
         return (halted ? "halted" : agreement.role()) + " of term " + agreement.term() + ", leader " + leader()
-                + ", voters " + voters() + (isChanging() ? " in place of " + agreement.membership().outgoing() : "")
+                + ", voters " + voters() + (isChanging() ? " in place of " + agreement.voterConfig().outgoing() : "")
                 + ", entries " + applied.last() + "/" + agreement.commitIndex() + "/" + agreement.lastIndex() + ", "
                 + storage.waiting() + " writes wait";
     }
 
     /** Whether a change of the members is under way. */
     boolean isChanging() {
-        return agreement.membership().isJoint();
+        return agreement.voterConfig().isJoint();
     }
 
     /** Whether it was elected, even if it does not know yet what was decided before. */
     boolean isElected() {
-        return agreement.role() == Agreement.Role.LEADER;
+        return agreement.role() == RaftNode.Role.LEADER;
     }
 
     /** Whether this replica has a vote. */
     boolean isVoter() {
-        return agreement.membership().includes(self);
+        return agreement.voterConfig().includes(self);
     }
 
     /** Whether the group is large enough that what it decides outlives the losses that are to be borne. */
     private boolean isLargeEnough() {
-        Membership membership = agreement.membership();
+        VoterConfig membership = agreement.voterConfig();
         return membership.voters().size() >= leastVoters
                 && (!membership.isJoint() || membership.outgoing().size() >= leastVoters);
     }
 
     /** Whether a replica without a vote holds all that is decided; as a leader. */
     boolean holdsAll(String replica) {
-        return agreement.holdsAllDecided(replica);
+        return agreement.hasAllCommitted(replica);
     }
 
     List<String> voters() {
@@ -175,7 +175,7 @@
     }
 
     boolean votersAreDecided() {
-        return agreement.areVotersDecided();
+        return agreement.isVoterChangeCommitted();
     }
 
     long generation() {
@@ -203,9 +203,9 @@
 
     /** There is a new connection to another replica's node. */
     void reconnected(String ip) {
-        for (String replica : agreement.matches().keySet()) {
+        for (String replica : agreement.matchIndexes().keySet()) {
             if (ReplicaNames.ip(replica).equals(ip)) {
-                agreement.reconnected(scheduler.now(), replica);
+                agreement.onReconnected(scheduler.now(), replica);
             }
         }
         settle();
@@ -213,7 +213,7 @@
 
     /** Tells which nodes can be reached, there and back: what matters before there was any leader. */
     void reachable(Set<String> ips) {
-        agreement.reachable(scheduler.now(), voters().stream().filter(v -> ips.contains(ReplicaNames.ip(v))).toList());
+        agreement.setReachable(scheduler.now(), voters().stream().filter(v -> ips.contains(ReplicaNames.ip(v))).toList());
         settle();
     }
 
@@ -247,7 +247,7 @@
             lost.run();
             return;
         }
-        long round = agreement.confirm(scheduler.now());
+        long round = agreement.confirmLeadership(scheduler.now());
         if (round == 0) {
             lost.run();
         } else {
@@ -271,13 +271,13 @@
 
     /** Sends the log to replicas without a vote; as a leader. */
     void learners(List<String> names) {
-        agreement.learners(scheduler.now(), names);
+        agreement.setLearners(scheduler.now(), names);
         settle();
     }
 
     /** Puts another group of replicas in place of the current one, in one step; as a leader. */
     void changeVoters(List<String> changed) {
-        if (agreement.changeVoters(changed) != 0) {
+        if (agreement.proposeJointChange(changed) != 0) {
             LOG.log(System.Logger.Level.INFO, "replicas from now on: " + changed);
         }
         settle();
@@ -294,7 +294,7 @@
 
     /** Asks another replica to lead, before this one stops. */
     void handOver() {
-        agreement.handOver(scheduler.now());
+        agreement.transferLeadership(scheduler.now());
         settle();
     }
 
@@ -350,12 +350,12 @@
     }
 
     private void compact() {
-        boolean due = agreement.decidedBehindSnapshot() > COMPACT_AFTER_ENTRIES || bytesSinceSnapshot > COMPACT_AFTER_BYTES;
+        boolean due = agreement.committedSinceSnapshot() > COMPACT_AFTER_ENTRIES || bytesSinceSnapshot > COMPACT_AFTER_BYTES;
         if (!due || halted || storage.isFull()) {
             return;
         }
         byte[] state = codec.encode(store.snapshot());
-        if (state.length > Agreement.MOST_SNAPSHOT_BYTES) {
+        if (state.length > RaftNode.MAX_SNAPSHOT_BYTES) {
             LOG.log(System.Logger.Level.ERROR, "a state of " + state.length + " bytes is larger than a snapshot may be");
             bytesSinceSnapshot = 0;
             return;
@@ -429,7 +429,7 @@
         orders.decided(entry.index(), result);
         if (store.generation() != before) {
             deferred.add(() -> surroundings.configurationChanged(store.generation()));
-            deferred.add(() -> agreement.confirm(scheduler.now())); // its round tells the others at once
+            deferred.add(() -> agreement.confirmLeadership(scheduler.now())); // its round tells the others at once
         }
     }
 
@@ -438,7 +438,7 @@
         deferred.add(() -> evacuationOrders.decided(entry.index(), taken));
         if (taken) {
             deferred.add(() -> surroundings.evacuationsChanged(store.evacuations()));
-            deferred.add(() -> agreement.confirm(scheduler.now()));
+            deferred.add(() -> agreement.confirmLeadership(scheduler.now()));
         }
     }
 
@@ -448,7 +448,7 @@
         orders.leadershipLost();
     }
 
-    private final class AgreementActions implements Agreement.Actions {
+    private final class AgreementActions implements RaftNode.Actions {
         @Override
         public void send(String to, Message message) {
             deferred.add(() -> {
@@ -481,19 +481,19 @@
         }
 
         @Override
-        public void leads(long term) {
+        public void becameLeader(long term) {
             LOG.log(System.Logger.Level.INFO, self + " leads term " + term);
             deferred.add(questions::askKept);
         }
 
         @Override
-        public void leadsNoMore() {
+        public void lostLeadership() {
             LOG.log(System.Logger.Level.INFO, self + " leads no more");
             deferred.add(ReplicaGroup.this::leadershipLost);
         }
 
         @Override
-        public void confirmed(long round) {
+        public void roundConfirmed(long round) {
             deferred.add(() -> questions.confirmed(round));
         }
     }
--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -9,7 +9,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.Executor;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Write;
 import rowanplank.fleet.wire.DiskForm;
 import routerfleet.log.Loggers;
@@ -37,7 +37,7 @@
      *
      * @param replica the name of the replica whose state it is
      */
-    record Opened(String replica, Saved saved) { }
+    record Opened(String replica, PersistentState saved) { }
 
     private record Job(Write write, Runnable stored) { }
 
@@ -107,10 +107,10 @@
     }
 
     /** Begins to write. @param name the replica's; @param initial written first where the disk was empty, else null */
-    void start(String name, Saved initial) {
+    void start(String name, PersistentState initial) {
         replica = name;
         if (initial != null) {
-            store(new Write.Whole(initial), () -> { });
+            store(new Write.FullState(initial), () -> { });
         }
     }
 
@@ -120,9 +120,9 @@
      *
      * @throws IOException if the disk refuses it; may be tried again
      */
-    void found(String name, Saved initial) throws IOException {
+    void found(String name, PersistentState initial) throws IOException {
         replica = name;
-        write(List.of(new Job(new Write.Whole(initial), () -> { })));
+        write(List.of(new Job(new Write.FullState(initial), () -> { })));
     }
 
     /** @param stored run on the loop once the write and all before it are synced */
@@ -211,12 +211,12 @@
     private void write(List<Job> batch) throws IOException {
         int from = 0;
         for (int i = 0; i < batch.size(); i++) {
-            if (batch.get(i).write() instanceof Write.Whole) {
+            if (batch.get(i).write() instanceof Write.FullState) {
                 from = i; // it takes the place of all that was written before it
             }
         }
         List<Job> rest = batch.subList(from, batch.size());
-        if (rest.get(0).write() instanceof Write.Whole whole) {
+        if (rest.get(0).write() instanceof Write.FullState whole) {
             switchSlot(whole);
             rest = rest.subList(1, rest.size());
         }
@@ -244,7 +244,7 @@
         chain = newChain;
     }
 
-    private void switchSlot(Write.Whole whole) throws IOException {
+    private void switchSlot(Write.FullState whole) throws IOException {
         int other = nextSlot(slot);
         DiskForm.Written written = DiskForm.anew(Long.toString(slotSequence + 1), replica, whole);
         Disk.DiskFile fresh = disk.open(slotName(other));
--- a/src/main/java/routerfleet/wire/EarlierRecords.java
+++ b/src/main/java/routerfleet/wire/EarlierRecords.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.TreeMap;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Membership;
+import rowanplank.agreement.VoterConfig;
 import rowanplank.agreement.Message;
 import routerfleet.config.BackendConfig;
 import routerfleet.config.ClientLimits;
@@ -40,8 +40,8 @@
         kryo.setReferences(false);
         ImmutableCollectionsSerializers.registerSerializers(kryo);
         for (Class<?> type : new Class<?>[] {byte[].class, ArrayList.class, HashMap.class, TreeMap.class,
-                LinkedHashMap.class, Entry.class, Message.VoteAsk.class, Message.VoteReply.class, Message.Append.class,
-                Message.AppendReply.class, Message.Piece.class, Message.PieceReply.class, Message.TakeOver.class,
+                LinkedHashMap.class, Entry.class, Message.VoteRequest.class, Message.VoteResponse.class, Message.AppendRequest.class,
+                Message.AppendResponse.class, Message.SnapshotChunk.class, Message.SnapshotChunkResponse.class, Message.TimeoutNow.class,
                 ConfigOrder.Kind.class, ConfigOrder.class, ConfigStore.EarlierState.class, SessionRecord.Phase.class,
                 SessionRecord.class, SessionView.class, PeerMessage.QuotaVerdict.class, FleetConfiguration.class,
                 RouteConfig.class, RouteConfig.WeightedBackend.class, BackendConfig.class, BackendConfig.Engine.class,
@@ -51,7 +51,7 @@
         kryo.register(RouteConfig.class, new Routes()); // in its place above
         kryo.register(BackendConfig.class, new Backends());
         int next = kryo.getNextRegistrationId() + MESSAGE_KINDS;
-        for (Class<?> type : new Class<?>[] {Membership.class, ConfigChange.class, ConfigDocument.class,
+        for (Class<?> type : new Class<?>[] {VoterConfig.class, ConfigChange.class, ConfigDocument.class,
                 ConfigStore.State.class, ConfigDelta.class}) {
             kryo.register(type, next++);
         }
--- a/src/main/java/routerfleet/wire/ReplicationForm.java
+++ b/src/main/java/routerfleet/wire/ReplicationForm.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Membership;
 import rowanplank.agreement.Message;
+import rowanplank.agreement.VoterConfig;
 
 /** What replicas of a group tell each other, as bytes and back. */
 final class ReplicationForm {
@@ -22,26 +22,26 @@
     private ReplicationForm() { }
 
     static void write(Output out, Message message) {
-        if (message instanceof Message.Append append) {
+        if (message instanceof Message.AppendRequest append) {
             writeAppend(out, append);
-        } else if (message instanceof Message.AppendReply reply) {
+        } else if (message instanceof Message.AppendResponse reply) {
             begin(out, APPEND_REPLY, reply.term());
             out.writeVarLong(reply.round(), false);
             out.writeBoolean(reply.ok());
             out.writeVarLong(reply.match(), false);
-        } else if (message instanceof Message.VoteAsk ask) {
+        } else if (message instanceof Message.VoteRequest ask) {
             begin(out, VOTE_ASK, ask.term());
             out.writeBoolean(ask.pre());
             out.writeBoolean(ask.handover());
             out.writeVarLong(ask.lastIndex(), false);
             out.writeVarLong(ask.lastTerm(), false);
-        } else if (message instanceof Message.VoteReply reply) {
+        } else if (message instanceof Message.VoteResponse reply) {
             begin(out, VOTE_REPLY, reply.term());
             out.writeBoolean(reply.pre());
             out.writeBoolean(reply.granted());
-        } else if (message instanceof Message.Piece piece) {
+        } else if (message instanceof Message.SnapshotChunk piece) {
             writePiece(out, piece);
-        } else if (message instanceof Message.PieceReply reply) {
+        } else if (message instanceof Message.SnapshotChunkResponse reply) {
             begin(out, PIECE_REPLY, reply.term());
             out.writeVarLong(reply.round(), false);
             out.writeVarLong(reply.index(), false);
@@ -56,7 +56,7 @@
         out.writeVarLong(term, false);
     }
 
-    private static void writeAppend(Output out, Message.Append append) {
+    private static void writeAppend(Output out, Message.AppendRequest append) {
         begin(out, APPEND, append.term());
         out.writeVarLong(append.previous(), false);
         out.writeVarLong(append.previousTerm(), false);
@@ -68,7 +68,7 @@
         }
     }
 
-    private static void writePiece(Output out, Message.Piece piece) {
+    private static void writePiece(Output out, Message.SnapshotChunk piece) {
         begin(out, PIECE, piece.term());
         out.writeVarLong(piece.round(), false);
         out.writeVarLong(piece.index(), false);
@@ -83,17 +83,17 @@
         int kind = in.readByte();
         long term = in.readVarLong(false);
         return switch (kind) {
-            case VOTE_ASK -> new Message.VoteAsk(term, in.readBoolean(), in.readBoolean(), in.readVarLong(false),
+            case VOTE_ASK -> new Message.VoteRequest(term, in.readBoolean(), in.readBoolean(), in.readVarLong(false),
                     in.readVarLong(false));
-            case VOTE_REPLY -> new Message.VoteReply(term, in.readBoolean(), in.readBoolean());
+            case VOTE_REPLY -> new Message.VoteResponse(term, in.readBoolean(), in.readBoolean());
             case APPEND -> readAppend(in, term);
-            case APPEND_REPLY -> new Message.AppendReply(term, in.readVarLong(false), in.readBoolean(),
+            case APPEND_REPLY -> new Message.AppendResponse(term, in.readVarLong(false), in.readBoolean(),
                     in.readVarLong(false));
-            case PIECE -> new Message.Piece(term, in.readVarLong(false), in.readVarLong(false), in.readVarLong(false),
+            case PIECE -> new Message.SnapshotChunk(term, in.readVarLong(false), in.readVarLong(false), in.readVarLong(false),
                     Fields.readStrings(in), in.readVarInt(true), in.readVarInt(true), Fields.readBytes(in));
-            case PIECE_REPLY -> new Message.PieceReply(term, in.readVarLong(false), in.readVarLong(false),
+            case PIECE_REPLY -> new Message.SnapshotChunkResponse(term, in.readVarLong(false), in.readVarLong(false),
                     in.readVarInt(true));
-            case TAKE_OVER -> new Message.TakeOver(term);
+            case TAKE_OVER -> new Message.TimeoutNow(term);
             default -> throw new KryoException("no message of replicas of kind " + kind);
         };
     }
@@ -108,7 +108,7 @@
         for (int i = 0; i < count; i++) {
             entries.add(readEntry(in));
         }
-        return new Message.Append(term, previous, previousTerm, commit, round, entries);
+        return new Message.AppendRequest(term, previous, previousTerm, commit, round, entries);
     }
 
     private static void write(Output out, Entry entry) {
@@ -125,7 +125,7 @@
     private static Entry readEntry(Input in) {
         long index = in.readVarLong(false);
         long term = in.readVarLong(false);
-        Membership membership = in.readBoolean() ? new Membership(Fields.readStrings(in), Fields.readStrings(in)) : null;
+        VoterConfig membership = in.readBoolean() ? new VoterConfig(Fields.readStrings(in), Fields.readStrings(in)) : null;
         return new Entry(index, term, membership, Fields.readBytes(in));
     }
 }
--- a/src/main/java/rowanplank/agreement/StoredBarrier.java
+++ b/src/main/java/rowanplank/agreement/DurabilityBarrier.java
@@ -12,7 +12,7 @@
  *
  * @param <T> a message with its address
  */
-final class StoredBarrier<T> {
+final class DurabilityBarrier<T> {
     private record Held<T>(long number, T message) { }
 
     private final int mostHeld;
@@ -20,7 +20,7 @@
     private long begun;
     private long done;
 
-    StoredBarrier(int mostHeld) {
+    DurabilityBarrier(int mostHeld) {
         this.mostHeld = mostHeld;
     }
 
--- a/src/main/java/rowanplank/agreement/Entry.java
+++ b/src/main/java/rowanplank/agreement/Entry.java
@@ -10,7 +10,7 @@
  * @param membership who votes from this entry on; null where the entry changes nothing about that
  * @param payload what the state machine is told; empty for the entry that opens a term; not to be changed
  */
-public record Entry(long index, long term, Membership membership, byte[] payload) {
+public record Entry(long index, long term, VoterConfig membership, byte[] payload) {
     private static final byte[] NOTHING = {};
     /** What an entry takes beside its payload, about, where messages and logs are filled up to a bound. */
     static final int OVERHEAD = 24;
@@ -20,19 +20,19 @@
         return new Entry(index, term, null, payload);
     }
 
-    public static Entry opening(long index, long term) {
+    public static Entry noOp(long index, long term) {
         return new Entry(index, term, null, NOTHING);
     }
 
-    public static Entry voters(long index, long term, List<String> voters) {
-        return changing(index, term, Membership.of(voters));
+    public static Entry voterChange(long index, long term, List<String> voters) {
+        return configChange(index, term, VoterConfig.of(voters));
     }
 
-    public static Entry changing(long index, long term, Membership membership) {
+    public static Entry configChange(long index, long term, VoterConfig membership) {
         return new Entry(index, term, membership, NOTHING);
     }
 
     int bytes() {
-        return OVERHEAD + payload.length + (membership == null ? 0 : BYTES_A_NAME * membership.all().size());
+        return OVERHEAD + payload.length + (membership == null ? 0 : BYTES_A_NAME * membership.allVoters().size());
     }
 }
--- a/src/main/java/rowanplank/agreement/EntryLog.java
+++ b/src/main/java/rowanplank/agreement/EntryLog.java
@@ -152,18 +152,18 @@
     }
 
     /** Who votes by the last entry that says so, decided or not. */
-    Membership membership() {
+    VoterConfig membership() {
         return membershipAfter(last());
     }
 
     /** Who votes after this entry, which is not older than the snapshot. */
-    Membership membershipAfter(long index) {
+    VoterConfig membershipAfter(long index) {
         for (long i = index; i >= first(); i--) {
             if (get(i).membership() != null) {
                 return get(i).membership();
             }
         }
-        return Membership.of(snapshot.voters());
+        return VoterConfig.of(snapshot.voters());
     }
 
     /** The last entry that changes the voters; 0 if there is none behind the snapshot. */
--- a/src/main/java/rowanplank/agreement/Peer.java
+++ b/src/main/java/rowanplank/agreement/PeerProgress.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 
 /** What a leader knows of another voter, and what it sends next. */
-final class Peer {
+final class PeerProgress {
     final String name;
     /** Up to here its log is known to be alike, and on its disk. */
     long match;
@@ -33,7 +33,7 @@
     /** It has said that it has less than it had told of before: its state is an older copy. */
     boolean regressed;
 
-    Peer(String name, long next, Instant now) {
+    PeerProgress(String name, long next, Instant now) {
         this.name = name;
         this.next = next;
         heard = now;
--- a/src/main/java/rowanplank/agreement/Saved.java
+++ b/src/main/java/rowanplank/agreement/PersistentState.java
@@ -8,12 +8,12 @@
  * @param vote whom it voted for in this term; null for nobody
  * @param entries those behind the snapshot, in order and without gaps
  */
-public record Saved(long term, String vote, Snapshot snapshot, List<Entry> entries) {
-    public Saved {
+public record PersistentState(long term, String vote, Snapshot snapshot, List<Entry> entries) {
+    public PersistentState {
         entries = List.copyOf(entries);
     }
 
-    public static Saved nothing(List<String> voters) {
-        return new Saved(0, null, Snapshot.beginning(voters), List.of());
+    public static PersistentState initial(List<String> voters) {
+        return new PersistentState(0, null, Snapshot.initial(voters), List.of());
     }
 }
--- a/src/main/java/rowanplank/agreement/Agreement.java
+++ b/src/main/java/rowanplank/agreement/RaftNode.java
@@ -19,17 +19,17 @@
  *
  * <p>Guaranteed, whatever is lost, late, doubled, out of order, stalled or stopped: at most one leader a term; an entry
  * handed to {@link Actions#committed} stands at that index at every voter for good; a round told to
- * {@link Actions#confirmed} was answered by a majority that had heard of no higher term when it began. Assumed: what was
+ * {@link Actions#roundConfirmed} was answered by a majority that had heard of no higher term when it began. Assumed: what was
  * told by {@link #onStored} is still there after a restart, and a name is used by one voter at a time. Time only decides
  * how soon something happens.
  *
- * <p>Bounds: {@link Settings#mostUndecided} entries that are not decided; the log behind the snapshot is as long as the
+ * <p>Bounds: {@link Settings#maxUncommitted} entries that are not decided; the log behind the snapshot is as long as the
  * owner lets it grow before {@link #compact}; {@value #MOST_HELD} messages that wait for the disk, of more the oldest
- * are dropped as if lost; a snapshot of {@value #MOST_SNAPSHOT_BYTES} bytes. A call costs O(voters) and the entries that
+ * are dropped as if lost; a snapshot of {@value #MAX_SNAPSHOT_BYTES} bytes. A call costs O(voters) and the entries that
  * it moves.
  */
-public class Agreement {
-    public static final int MOST_SNAPSHOT_BYTES = 8 << 20;
+public class RaftNode {
+    public static final int MAX_SNAPSHOT_BYTES = 8 << 20;
     private static final int MOST_HELD = 1000;
     /** So many messages with entries may be on their way to a voter that has not answered. */
     private static final int WINDOW = 8;
@@ -47,15 +47,15 @@
 
     /**
      * @param self this voter's name
-     * @param election without a leader for one to two of these, a voter stands; a leader without a majority steps down
-     * @param firstElection takes the place of {@code election} until a voter has heard of a leader since its start: it asks
+     * @param electionTimeout without a leader for one to two of these, a voter stands; a leader without a majority steps down
+     * @param firstElectionTimeout takes the place of {@code election} until a voter has heard of a leader since its start: it asks
      *     whether it would get the votes that much sooner. Voters that hear a leader say nothing to that
-     * @param heartbeat how often a leader is heard at least
-     * @param mostBytes of the entries, or the piece of a snapshot, in one message
+     * @param heartbeatInterval how often a leader is heard at least
+     * @param maxMessageBytes of the entries, or the piece of a snapshot, in one message
      * @param transport how messages travel
      */
-    public record Settings(String self, Duration election, Duration firstElection, Duration heartbeat, int mostBytes,
-            int mostUndecided, Transport transport, long seed) {
+    public record Settings(String self, Duration electionTimeout, Duration firstElectionTimeout, Duration heartbeatInterval, int maxMessageBytes,
+            int maxUncommitted, Transport transport, long seed) {
         /** With the first election no sooner than later ones, over messages that get lost. */
         public Settings(String self, Duration election, Duration heartbeat, int mostBytes, int mostUndecided, long seed) {
             this(self, election, election, heartbeat, mostBytes, mostUndecided, Transport.DATAGRAMS, seed);
@@ -73,7 +73,7 @@
         /** Any message may be lost: again with the next heartbeat. */
         DATAGRAMS(Duration.ZERO, 0, false),
         /**
-         * Lost with its connection only ({@link #reconnected} is told of a new one), and slow where a link is slow: what is
+         * Lost with its connection only ({@link #onReconnected} is told of a new one), and slow where a link is slow: what is
          * sent again too soon would only make it slower.
          */
         CONNECTIONS(Duration.ofSeconds(5), 1 << 20, true);
@@ -105,24 +105,24 @@
         void restore(Snapshot snapshot);
 
         /** It leads, and has handed over all entries that were decided under earlier leaders. */
-        void leads(long term);
+        void becameLeader(long term);
 
         /** It leads no more; what was proposed and not handed over may or may not be decided yet. */
-        void leadsNoMore();
+        void lostLeadership();
 
         /** A majority has answered this round, and thereby all before it. */
-        void confirmed(long round);
+        void roundConfirmed(long round);
     }
 
-    private record Addressed(String to, Message message) { }
+    private record OutboundMessage(String to, Message message) { }
 
-    private record Unstored(long number, long last) { }
+    private record PendingAppend(long number, long last) { }
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
     private final EntryLog log;
-    private Membership membership;
+    private VoterConfig membership;
     private long term;
     private String vote;
     private long commit;
@@ -140,7 +140,7 @@
     private final TreeSet<String> granted = new TreeSet<>();
 
     /** As a leader. */
-    private final Map<String, Peer> peers = new TreeMap<>();
+    private final Map<String, PeerProgress> peers = new TreeMap<>();
     /** Who gets the log without a vote. */
     private final TreeSet<String> learners = new TreeSet<>();
     private long opening;
@@ -153,15 +153,15 @@
     private Instant handingOverUntil;
     private boolean handedOver;
 
-    private final StoredBarrier<Addressed> disk = new StoredBarrier<>(MOST_HELD);
+    private final DurabilityBarrier<OutboundMessage> disk = new DurabilityBarrier<>(MOST_HELD);
     private long ownVote;
     private long durable;
-    private final Deque<Unstored> unstored = new ArrayDeque<>();
+    private final Deque<PendingAppend> unstored = new ArrayDeque<>();
 
-    private final SnapshotAssembly incoming = new SnapshotAssembly();
+    private final SnapshotAssembler incoming = new SnapshotAssembler();
 
     /** @param saved what is on disk: the owner's state machine is to be as its snapshot has it */
-    public Agreement(Settings settings, Saved saved, Instant now, Actions actions) {
+    public RaftNode(Settings settings, PersistentState saved, Instant now, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(settings.seed());
@@ -172,7 +172,7 @@
         applied = commit;
         durable = log.last();
         membership = log.membership();
-        awaitElection(now, settings.firstElection());
+        awaitElection(now, settings.firstElectionTimeout());
     }
 
     // ---- asked
@@ -195,12 +195,12 @@
     }
 
     /** Who votes, with those that are on their way out. */
-    public Membership membership() {
+    public VoterConfig voterConfig() {
         return membership;
     }
 
     /** Whether the last change of the voters is decided; until then no other one is taken. */
-    public boolean areVotersDecided() {
+    public boolean isVoterChangeCommitted() {
         return log.lastChange() <= commit;
     }
 
@@ -218,7 +218,7 @@
     }
 
     /** How many entries up to {@link #commitIndex} stand behind the snapshot. */
-    public long decidedBehindSnapshot() {
+    public long committedSinceSnapshot() {
         return commit - log.snapshot().index();
     }
 
@@ -228,14 +228,14 @@
     }
 
     /** Of a leader: up to where a voter's log is known to be alike. */
-    public Map<String, Long> matches() {
+    public Map<String, Long> matchIndexes() {
         Map<String, Long> found = new TreeMap<>();
         peers.values().forEach(p -> found.put(p.name, p.match));
         return found;
     }
 
     /** Of a leader: voters that have less on disk than they had told of to it. */
-    public List<String> regressed() {
+    public List<String> regressedVoters() {
         return peers.values().stream().filter(p -> p.regressed).map(p -> p.name).toList();
     }
 
@@ -264,13 +264,13 @@
     }
 
     private Collection<String> others() {
-        List<String> others = membership.all();
+        List<String> others = membership.allVoters();
         others.remove(settings.self());
         return others;
     }
 
     /** Who decides now. */
-    protected Membership deciding() {
+    protected VoterConfig decidingConfig() {
         return membership;
     }
 
@@ -294,7 +294,7 @@
     }
 
     private void awaitElection(Instant now) {
-        awaitElection(now, settings.election());
+        awaitElection(now, settings.electionTimeout());
     }
 
     private void awaitElection(Instant now, Duration wait) {
@@ -306,7 +306,7 @@
      * Tells which voters can be reached, there and back. Until a leader has been heard, a voter that reaches a majority asks
      * for votes at once, in place of waiting for an election's time that is meant for leaders that fall silent.
      */
-    public void reachable(Instant now, Collection<String> names) {
+    public void setReachable(Instant now, Collection<String> names) {
         isToldOfReach = true;
         boolean mayAsk = role == Role.FOLLOWER || role == Role.ASKING;
         if (hasHeardLeader || !mayAsk || waysGiven > 0 || !mayStand() || !reachesMajority(names)) {
@@ -319,24 +319,24 @@
     }
 
     private boolean reachesMajority(Collection<String> names) {
-        return deciding().reached(name -> name.equals(settings.self()) || names.contains(name) ? 1 : 0,
+        return decidingConfig().quorumValue(name -> name.equals(settings.self()) || names.contains(name) ? 1 : 0,
                 this::majority) == 1;
     }
 
     /** What a voter waits for that has not heard of a leader yet is a shorter time. */
     private Duration patience() {
-        return isToldOfReach && !hasHeardLeader ? settings.firstElection() : settings.election();
+        return isToldOfReach && !hasHeardLeader ? settings.firstElectionTimeout() : settings.electionTimeout();
     }
 
     private void beat(Instant now) {
-        if (deciding().reached(name -> hears(name, now) ? 1 : 0, this::enough) < 1) {
+        if (decidingConfig().quorumValue(name -> hears(name, now) ? 1 : 0, this::leaderQuorum) < 1) {
             follow(now, term, null);
             return;
         }
         if (handingOverUntil != null && !now.isBefore(handingOverUntil)) {
             handingOverUntil = null;
         }
-        for (Peer p : peers.values()) {
+        for (PeerProgress p : peers.values()) {
             p.sendAgain(now, settings.transport().patience);
         }
         beginRound(now);
@@ -346,16 +346,16 @@
         if (name.equals(settings.self())) {
             return true;
         }
-        Peer p = peers.get(name);
-        return p != null && !p.regressed && p.heard.plus(settings.election()).isAfter(now);
+        PeerProgress p = peers.get(name);
+        return p != null && !p.regressed && p.heard.plus(settings.electionTimeout()).isAfter(now);
     }
 
     private void beginRound(Instant now) {
         round++;
         roundBegan = now;
         roundWanted = false;
-        heartbeatDue = now.plus(settings.heartbeat());
-        for (Peer p : peers.values()) {
+        heartbeatDue = now.plus(settings.heartbeatInterval());
+        for (PeerProgress p : peers.values()) {
             sendTo(now, p);
         }
         countRounds();
@@ -365,13 +365,13 @@
 
     /** Would I get the votes? Guards against a voter that was cut off and comes back with a high term. */
     private void ask(Instant now) {
-        awaitElection(now, leaderHeard == null ? settings.firstElection() : settings.election());
+        awaitElection(now, leaderHeard == null ? settings.firstElectionTimeout() : settings.electionTimeout());
         role = Role.ASKING;
         leader = null;
         granted.clear();
         granted.add(settings.self());
         for (String other : others()) {
-            send(other, new Message.VoteAsk(term + 1, true, false, log.last(), log.lastTerm()));
+            send(other, new Message.VoteRequest(term + 1, true, false, log.last(), log.lastTerm()));
         }
         countVotes(now);
     }
@@ -385,12 +385,12 @@
         vote = settings.self();
         ownVote = store(new Write.Vote(term, vote)); // its own vote counts once it is on disk
         for (String other : others()) {
-            send(other, new Message.VoteAsk(term, false, handover, log.last(), log.lastTerm()));
+            send(other, new Message.VoteRequest(term, false, handover, log.last(), log.lastTerm()));
         }
     }
 
     private void countVotes(Instant now) {
-        if (deciding().reached(name -> granted.contains(name) ? 1 : 0, this::majority) < 1) {
+        if (decidingConfig().quorumValue(name -> granted.contains(name) ? 1 : 0, this::majority) < 1) {
             return;
         }
         if (role == Role.ASKING) {
@@ -400,15 +400,15 @@
         }
     }
 
-    private void onVoteAsk(Instant now, String from, Message.VoteAsk m) {
+    private void onVoteAsk(Instant now, String from, Message.VoteRequest m) {
         boolean content = role == Role.LEADER
-                || leader != null && leaderHeard.plus(settings.election()).isAfter(now);
+                || leader != null && leaderHeard.plus(settings.electionTimeout()).isAfter(now);
         if (m.term() > term && content && !m.handover()) {
             return; // whoever hears its leader helps nobody to unseat it
         }
         if (m.pre()) {
             boolean would = m.term() > term && isUpToDate(m);
-            send(from, new Message.VoteReply(would ? m.term() : term, true, would));
+            send(from, new Message.VoteResponse(would ? m.term() : term, true, would));
             if (would) {
                 giveWay(now, from, m);
             }
@@ -425,14 +425,14 @@
                 store(new Write.Vote(term, vote));
             }
         }
-        send(from, new Message.VoteReply(term, false, grants));
+        send(from, new Message.VoteResponse(term, false, grants));
     }
 
     /**
      * Where nobody has led yet, one is left to win: of two that ask, the one whose log says more, or the first by name.
      * Without it voters that start together would share out the votes among themselves.
      */
-    private void giveWay(Instant now, String from, Message.VoteAsk m) {
+    private void giveWay(Instant now, String from, Message.VoteRequest m) {
         boolean sameLog = m.lastTerm() == log.lastTerm() && m.lastIndex() == log.last();
         boolean goesBefore = role == Role.FOLLOWER
                 || role == Role.ASKING && (!sameLog || from.compareTo(settings.self()) < 0);
@@ -445,11 +445,11 @@
     }
 
     /** Whether the one who asks has at least what this voter has: only then can nothing decided be missing there. */
-    protected boolean isUpToDate(Message.VoteAsk m) {
+    protected boolean isUpToDate(Message.VoteRequest m) {
         return m.lastTerm() > log.lastTerm() || m.lastTerm() == log.lastTerm() && m.lastIndex() >= log.last();
     }
 
-    private void onVoteReply(Instant now, String from, Message.VoteReply m) {
+    private void onVoteReply(Instant now, String from, Message.VoteResponse m) {
         if (!m.granted()) {
             return;
         }
@@ -466,14 +466,14 @@
         peers.clear();
         learners.clear();
         for (String other : others()) {
-            peers.put(other, new Peer(other, log.last() + 1, now));
+            peers.put(other, new PeerProgress(other, log.last() + 1, now));
         }
         round = 0;
         confirmedRound = 0;
         established = false;
         handingOverUntil = null;
         opening = log.last() + 1;
-        write(List.of(Entry.opening(opening, term)));
+        write(List.of(Entry.noOp(opening, term)));
         beginRound(now);
     }
 
@@ -491,40 +491,40 @@
         if (led) {
             peers.clear();
             established = false;
-            actions.leadsNoMore();
+            actions.lostLeadership();
         }
     }
 
     // ---- messages
 
     public void onMessage(Instant now, String from, Message m) {
-        if (m instanceof Message.VoteAsk ask) {
+        if (m instanceof Message.VoteRequest ask) {
             onVoteAsk(now, from, ask);
             return;
         }
-        boolean future = m instanceof Message.VoteReply r && r.pre() && r.granted();
+        boolean future = m instanceof Message.VoteResponse r && r.pre() && r.granted();
         if (m.term() > term && !future) {
             follow(now, m.term(), null);
         }
         if (m.term() < term) {
-            if (m instanceof Message.Append || m instanceof Message.Piece) {
-                send(from, new Message.AppendReply(term, 0, false, 0)); // so that an old leader hears of the new term
+            if (m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk) {
+                send(from, new Message.AppendResponse(term, 0, false, 0)); // so that an old leader hears of the new term
             }
             return;
         }
-        if (m instanceof Message.VoteReply reply) {
+        if (m instanceof Message.VoteResponse reply) {
             onVoteReply(now, from, reply);
-        } else if (m instanceof Message.Append append) {
+        } else if (m instanceof Message.AppendRequest append) {
             hear(now, from);
             onAppend(from, append);
-        } else if (m instanceof Message.Piece piece) {
+        } else if (m instanceof Message.SnapshotChunk piece) {
             hear(now, from);
             onPiece(from, piece);
-        } else if (m instanceof Message.AppendReply reply) {
+        } else if (m instanceof Message.AppendResponse reply) {
             onAppendReply(now, from, reply);
-        } else if (m instanceof Message.PieceReply reply) {
+        } else if (m instanceof Message.SnapshotChunkResponse reply) {
             onPieceReply(now, from, reply);
-        } else if (m instanceof Message.TakeOver && isVoter() && role == Role.FOLLOWER) {
+        } else if (m instanceof Message.TimeoutNow && isVoter() && role == Role.FOLLOWER) {
             stand(now, true);
         }
     }
@@ -542,11 +542,11 @@
 
     // ---- the log, at those who follow
 
-    private void onAppend(String from, Message.Append m) {
+    private void onAppend(String from, Message.AppendRequest m) {
         long end = m.previous() + m.entries().size();
         long previous = Math.max(m.previous(), log.snapshot().index());
-        if (!isAlike(m, previous)) {
-            send(from, new Message.AppendReply(term, m.round(), false, mayBeAlike(previous)));
+        if (!isLogConsistent(m, previous)) {
+            send(from, new Message.AppendResponse(term, m.round(), false, mayBeAlike(previous)));
             return;
         }
         List<Entry> fresh = new ArrayList<>();
@@ -561,11 +561,11 @@
         write(fresh);
         long match = Math.max(end, previous);
         commitTo(Math.min(m.commit(), match));
-        send(from, new Message.AppendReply(term, m.round(), true, match));
+        send(from, new Message.AppendResponse(term, m.round(), true, match));
     }
 
     /** Whether all up to the entry before the new ones is alike at the leader: by induction, where that one is. */
-    protected boolean isAlike(Message.Append m, long previous) {
+    protected boolean isLogConsistent(Message.AppendRequest m, long previous) {
         return m.previous() < log.snapshot().index() || log.term(previous) == m.previousTerm();
     }
 
@@ -601,7 +601,7 @@
         }
         entries.forEach(log::append);
         membership = log.membership();
-        unstored.add(new Unstored(store(new Write.Entries(entries)), log.last()));
+        unstored.add(new PendingAppend(store(new Write.Entries(entries)), log.last()));
     }
 
     private void commitTo(long index) {
@@ -612,7 +612,7 @@
         }
         if (role == Role.LEADER && !established && commit >= opening) {
             established = true;
-            actions.leads(term);
+            actions.becameLeader(term);
         }
     }
 
@@ -620,7 +620,7 @@
 
     /** @return the entry's index; 0 where this voter doesn't lead, or too much is undecided */
     public long propose(Instant now, byte[] payload) {
-        if (!isEstablished() || handingOverUntil != null || log.last() - commit >= settings.mostUndecided()) {
+        if (!isEstablished() || handingOverUntil != null || log.last() - commit >= settings.maxUncommitted()) {
             return 0;
         }
         return appendOwn(Entry.command(log.last() + 1, term, payload));
@@ -631,7 +631,7 @@
      *
      * @return the entry's index; 0 where it can't be done now: no leader, or another change is not decided yet
      */
-    public long proposeVoters(Instant now, List<String> changed) {
+    public long proposeVoterChange(Instant now, List<String> changed) {
         TreeSet<String> difference = new TreeSet<>(changed);
         difference.removeAll(voters());
         TreeSet<String> gone = new TreeSet<>(voters());
@@ -639,8 +639,8 @@
         if (!mayChangeVoters() || changed.isEmpty() || difference.size() + gone.size() != 1) {
             return 0;
         }
-        long index = appendOwn(Entry.voters(log.last() + 1, term, changed));
-        difference.forEach(name -> peers.putIfAbsent(name, new Peer(name, index + 1, now)));
+        long index = appendOwn(Entry.voterChange(log.last() + 1, term, changed));
+        difference.forEach(name -> peers.putIfAbsent(name, new PeerProgress(name, index + 1, now)));
         return index;
     }
 
@@ -652,7 +652,7 @@
      * Sends the log to names that have no vote, in place of those of an earlier call: as a leader only, and until it leads
      * no more.
      */
-    public void learners(Instant now, Collection<String> names) {
+    public void setLearners(Instant now, Collection<String> names) {
         if (role != Role.LEADER) {
             return;
         }
@@ -661,13 +661,13 @@
         learners.remove(settings.self());
         peers.keySet().removeIf(name -> !membership.includes(name) && !learners.contains(name));
         for (String name : learners) {
-            peers.computeIfAbsent(name, n -> new Peer(n, log.last() + 1, now));
+            peers.computeIfAbsent(name, n -> new PeerProgress(n, log.last() + 1, now));
         }
     }
 
     /** Whether a name, with a vote or without, is there and holds on its disk all that is decided; of a leader. */
-    public boolean holdsAllDecided(String name) {
-        Peer p = peers.get(name);
+    public boolean hasAllCommitted(String name) {
+        PeerProgress p = peers.get(name);
         return name.equals(settings.self()) || p != null && p.counts() && p.match >= commit && hears(name, roundBegan);
     }
 
@@ -678,17 +678,17 @@
      * @return the first entry of the change; 0 where it can't be done now: no leader, another change is not decided yet, or
      *     a newcomer lacks something
      */
-    public long changeVoters(List<String> changed) {
-        boolean allThere = changed.stream().allMatch(name -> voters().contains(name) || holdsAllDecided(name));
+    public long proposeJointChange(List<String> changed) {
+        boolean allThere = changed.stream().allMatch(name -> voters().contains(name) || hasAllCommitted(name));
         if (!mayChangeVoters() || !allThere || changed.isEmpty() || changed.equals(voters())) {
             return 0;
         }
-        return appendOwn(Entry.changing(log.last() + 1, term, membership.changingTo(changed)));
+        return appendOwn(Entry.configChange(log.last() + 1, term, membership.transitionTo(changed)));
     }
 
     /** There is a new connection to a voter: what was under way on the one before is lost. */
-    public void reconnected(Instant now, String name) {
-        Peer p = peers.get(name);
+    public void onReconnected(Instant now, String name) {
+        PeerProgress p = peers.get(name);
         if (role == Role.LEADER && p != null) {
             p.sendAgain(now, Duration.ZERO);
             p.pieceSent = null;
@@ -698,7 +698,7 @@
 
     private long appendOwn(Entry entry) {
         write(List.of(entry));
-        for (Peer p : peers.values()) {
+        for (PeerProgress p : peers.values()) {
             if (p.sending == null) {
                 sendTo(roundBegan, p);
             }
@@ -706,25 +706,25 @@
         return entry.index();
     }
 
-    private void sendTo(Instant now, Peer p) {
+    private void sendTo(Instant now, PeerProgress p) {
         if (p.next < log.firstKept()) {
             sendPiece(now, p);
             return;
         }
         p.sending = null;
-        List<Entry> entries = p.mayBeSentEntries(WINDOW, settings.transport().probesFirst) ? log.from(p.next, settings.mostBytes()) : List.of();
-        send(p.name, new Message.Append(term, p.next - 1, log.term(p.next - 1), commit, round, entries));
+        List<Entry> entries = p.mayBeSentEntries(WINDOW, settings.transport().probesFirst) ? log.from(p.next, settings.maxMessageBytes()) : List.of();
+        send(p.name, new Message.AppendRequest(term, p.next - 1, log.term(p.next - 1), commit, round, entries));
         p.sent(entries.size());
     }
 
     /** Whether a snapshot that is on its way is sent to its end, though there is a newer one. */
-    protected boolean keepsSnapshotUnderWay() {
+    protected boolean keepsStartedSnapshot() {
         return true;
     }
 
     /** A snapshot that is on its way stays the same until it is there, however many newer ones there are meanwhile. */
-    private void sendPiece(Instant now, Peer p) {
-        if (p.sending == null || !keepsSnapshotUnderWay() && p.sending.index() != log.snapshot().index()) {
+    private void sendPiece(Instant now, PeerProgress p) {
+        if (p.sending == null || !keepsStartedSnapshot() && p.sending.index() != log.snapshot().index()) {
             p.sending = log.snapshot();
             p.have = 0;
             p.pieceSent = null;
@@ -734,7 +734,7 @@
         int length = again ? Math.min(roomBeside(s.voters()), s.data().length - p.have) : 0;
         byte[] bytes = new byte[length];
         System.arraycopy(s.data(), p.have, bytes, 0, length);
-        send(p.name, new Message.Piece(term, round, s.index(), s.term(), s.voters(), s.data().length, p.have, bytes));
+        send(p.name, new Message.SnapshotChunk(term, round, s.index(), s.term(), s.voters(), s.data().length, p.have, bytes));
         if (again) {
             p.pieceSent = now;
         }
@@ -743,11 +743,11 @@
     /** Guards against pieces that no datagram holds: the voters' names go with each, and may be long. */
     private int roomBeside(List<String> names) {
         int taken = names.stream().mapToInt(n -> n.length() + 1).sum();
-        return Math.max(settings.mostBytes() / 4, settings.mostBytes() - taken);
+        return Math.max(settings.maxMessageBytes() / 4, settings.maxMessageBytes() - taken);
     }
 
-    private void onAppendReply(Instant now, String from, Message.AppendReply m) {
-        Peer p = role == Role.LEADER ? peers.get(from) : null;
+    private void onAppendReply(Instant now, String from, Message.AppendResponse m) {
+        PeerProgress p = role == Role.LEADER ? peers.get(from) : null;
         if (p == null) {
             return;
         }
@@ -766,7 +766,7 @@
         }
     }
 
-    private void hearPeer(Instant now, Peer p, long itsRound) {
+    private void hearPeer(Instant now, PeerProgress p, long itsRound) {
         p.heard = now;
         p.round = Math.max(p.round, itsRound);
         countRounds();
@@ -774,8 +774,8 @@
 
     /** What a majority has on disk is decided. */
     private void count(Instant now) {
-        long decided = deciding().reached(this::onDiskOf, this::majority);
-        if (decided > commit && mayCount(decided)) {
+        long decided = decidingConfig().quorumValue(this::onDiskOf, this::majority);
+        if (decided > commit && mayCommitByCounting(decided)) {
             commitTo(decided);
             settle(now);
         }
@@ -785,12 +785,12 @@
         if (voter.equals(settings.self())) {
             return durable;
         }
-        Peer p = peers.get(voter);
+        PeerProgress p = peers.get(voter);
         return p == null || !p.counts() ? 0 : p.match;
     }
 
     /** Of earlier terms nothing is decided by counting (section 5.4.2 of the paper), only by what stands behind it. */
-    protected boolean mayCount(long index) {
+    protected boolean mayCommitByCounting(long index) {
         return log.term(index) == term;
     }
 
@@ -803,7 +803,7 @@
             return;
         }
         if (membership.isJoint()) {
-            appendOwn(Entry.voters(log.last() + 1, term, voters()));
+            appendOwn(Entry.voterChange(log.last() + 1, term, voters()));
             return;
         }
         if (!isVoter()) {
@@ -823,35 +823,35 @@
      * @throws IllegalArgumentException if it is longer than any voter would take
      */
     public void compact(byte[] data) {
-        if (data.length > MOST_SNAPSHOT_BYTES) {
-            throw new IllegalArgumentException("a snapshot of " + data.length + " bytes, over " + MOST_SNAPSHOT_BYTES);
+        if (data.length > MAX_SNAPSHOT_BYTES) {
+            throw new IllegalArgumentException("a snapshot of " + data.length + " bytes, over " + MAX_SNAPSHOT_BYTES);
         }
-        Membership then = log.membershipAfter(applied);
+        VoterConfig then = log.membershipAfter(applied);
         if (applied > log.snapshot().index() && !then.isJoint()) {
             log.replace(new Snapshot(applied, log.term(applied), then.voters(), data));
-            store(new Write.Whole(saved()));
+            store(new Write.FullState(saved()));
         }
     }
 
-    private Saved saved() {
-        return new Saved(term, vote, log.snapshot(), log.all());
+    private PersistentState saved() {
+        return new PersistentState(term, vote, log.snapshot(), log.all());
     }
 
-    private void onPiece(String from, Message.Piece m) {
+    private void onPiece(String from, Message.SnapshotChunk m) {
         if (m.index() <= commit) {
-            send(from, new Message.AppendReply(term, m.round(), true, commit));
+            send(from, new Message.AppendResponse(term, m.round(), true, commit));
             return;
         }
-        if (m.whole() < 0 || m.whole() > MOST_SNAPSHOT_BYTES) {
+        if (m.whole() < 0 || m.whole() > MAX_SNAPSHOT_BYTES) {
             return;
         }
         Snapshot whole = incoming.add(m);
         if (whole == null) {
-            send(from, new Message.PieceReply(term, m.round(), m.index(), incoming.have()));
+            send(from, new Message.SnapshotChunkResponse(term, m.round(), m.index(), incoming.have()));
             return;
         }
         takeUp(whole);
-        send(from, new Message.AppendReply(term, m.round(), true, m.index()));
+        send(from, new Message.AppendResponse(term, m.round(), true, m.index()));
     }
 
     private void takeUp(Snapshot snapshot) {
@@ -861,12 +861,12 @@
         applied = commit;
         unstored.clear();
         durable = Math.min(durable, commit);
-        unstored.add(new Unstored(store(new Write.Whole(saved())), log.last()));
+        unstored.add(new PendingAppend(store(new Write.FullState(saved())), log.last()));
         actions.restore(snapshot);
     }
 
-    private void onPieceReply(Instant now, String from, Message.PieceReply m) {
-        Peer p = role == Role.LEADER ? peers.get(from) : null;
+    private void onPieceReply(Instant now, String from, Message.SnapshotChunkResponse m) {
+        PeerProgress p = role == Role.LEADER ? peers.get(from) : null;
         if (p == null) {
             return;
         }
@@ -887,10 +887,10 @@
     /**
      * Has a majority confirm that this voter still leads.
      *
-     * @return the round: once {@link Actions#confirmed} has told of it or a later one, no other voter had been chosen
+     * @return the round: once {@link Actions#roundConfirmed} has told of it or a later one, no other voter had been chosen
      *     when this was called; 0 where it doesn't lead
      */
-    public long confirm(Instant now) {
+    public long confirmLeadership(Instant now) {
         if (role != Role.LEADER) {
             return 0;
         }
@@ -903,15 +903,15 @@
     }
 
     /** From how many a leader has to hear, itself included, to go on and to have a round confirmed. */
-    protected int enough(int voters) {
+    protected int leaderQuorum(int voters) {
         return majority(voters);
     }
 
     private void countRounds() {
-        long by = deciding().reached(this::roundOf, this::enough);
+        long by = decidingConfig().quorumValue(this::roundOf, this::leaderQuorum);
         if (by > confirmedRound) {
             confirmedRound = by;
-            actions.confirmed(by);
+            actions.roundConfirmed(by);
         }
     }
 
@@ -919,7 +919,7 @@
         if (voter.equals(settings.self())) {
             return round;
         }
-        Peer p = peers.get(voter);
+        PeerProgress p = peers.get(voter);
         return p == null || !p.counts() ? 0 : p.round;
     }
 
@@ -929,20 +929,20 @@
      *
      * @return whether there is anybody to ask; it leads on until another one does
      */
-    public boolean handOver(Instant now) {
+    public boolean transferLeadership(Instant now) {
         if (role != Role.LEADER || others().isEmpty()) {
             return false;
         }
-        handingOverUntil = now.plus(settings.election());
+        handingOverUntil = now.plus(settings.electionTimeout());
         handedOver = false;
         peers.values().forEach(this::handOverTo);
         return true;
     }
 
-    private void handOverTo(Peer p) {
+    private void handOverTo(PeerProgress p) {
         if (handingOverUntil != null && !handedOver && p.counts() && p.match == log.last() && voters().contains(p.name)) {
             handedOver = true;
-            send(p.name, new Message.TakeOver(term));
+            send(p.name, new Message.TimeoutNow(term));
         }
     }
 
@@ -956,7 +956,7 @@
 
     /** All writes up to this number are on disk. */
     public void onStored(Instant now, long number) {
-        List<Addressed> free = disk.done(number);
+        List<OutboundMessage> free = disk.done(number);
         while (!unstored.isEmpty() && unstored.peek().number() <= disk.done()) {
             durable = Math.max(durable, unstored.poll().last());
         }
@@ -971,12 +971,12 @@
 
     /** What rests on a write waits for it; what a leader sends rests on none that is not told by its reply. */
     private void send(String to, Message m) {
-        boolean free = m instanceof Message.Append || m instanceof Message.Piece || m instanceof Message.TakeOver
-                || m instanceof Message.VoteAsk a && a.pre() || m instanceof Message.VoteReply r && r.pre();
+        boolean free = m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk || m instanceof Message.TimeoutNow
+                || m instanceof Message.VoteRequest a && a.pre() || m instanceof Message.VoteResponse r && r.pre();
         if (free || !disk.isBusy()) {
             actions.send(to, m);
         } else {
-            disk.hold(new Addressed(to, m));
+            disk.hold(new OutboundMessage(to, m));
         }
     }
 }
--- a/src/main/java/rowanplank/agreement/Snapshot.java
+++ b/src/main/java/rowanplank/agreement/Snapshot.java
@@ -15,7 +15,7 @@
     }
 
     /** Before the first entry. */
-    public static Snapshot beginning(List<String> voters) {
+    public static Snapshot initial(List<String> voters) {
         return new Snapshot(0, 0, voters, new byte[0]);
     }
 }
--- a/src/main/java/rowanplank/agreement/SnapshotAssembly.java
+++ b/src/main/java/rowanplank/agreement/SnapshotAssembler.java
@@ -5,8 +5,8 @@
  *
  * <p>Bound: the bytes of one snapshot, whose length the caller has checked.
  */
-final class SnapshotAssembly {
-    private Message.Piece first;
+final class SnapshotAssembler {
+    private Message.SnapshotChunk first;
     private byte[] gathered;
     private int have;
 
@@ -21,7 +21,7 @@
      * @param piece of a snapshot whose whole length is in bounds
      * @return the snapshot, if this piece was its last; else null
      */
-    Snapshot add(Message.Piece piece) {
+    Snapshot add(Message.SnapshotChunk piece) {
         if (first == null || first.index() != piece.index() || first.whole() != piece.whole()) {
             first = piece;
             gathered = new byte[piece.whole()];
--- a/src/main/java/rowanplank/agreement/Membership.java
+++ b/src/main/java/rowanplank/agreement/VoterConfig.java
@@ -13,20 +13,20 @@
  * @param voters who votes, or will once the change is over
  * @param outgoing who voted before the change that is under way; empty where none is
  */
-public record Membership(List<String> voters, List<String> outgoing) {
-    public Membership {
+public record VoterConfig(List<String> voters, List<String> outgoing) {
+    public VoterConfig {
         voters = List.copyOf(voters);
         outgoing = List.copyOf(outgoing);
     }
 
     /** A group that is not being changed. */
-    public static Membership of(List<String> voters) {
-        return new Membership(voters, List.of());
+    public static VoterConfig of(List<String> voters) {
+        return new VoterConfig(voters, List.of());
     }
 
     /** The step that leads from this group to another one. */
-    public Membership changingTo(List<String> changed) {
-        return new Membership(changed, voters);
+    public VoterConfig transitionTo(List<String> changed) {
+        return new VoterConfig(changed, voters);
     }
 
     /** Whether a change is under way. */
@@ -40,7 +40,7 @@
     }
 
     /** Everybody who has a vote, before the change or after it. */
-    public List<String> all() {
+    public List<String> allVoters() {
         List<String> all = new ArrayList<>(voters);
         outgoing.stream().filter(name -> !voters.contains(name)).forEach(all::add);
         return all;
@@ -52,12 +52,12 @@
      * @param valueOf what a voter has reached
      * @param enough how many voters are enough in a group of so many
      */
-    long reached(ToLongFunction<String> valueOf, IntUnaryOperator enough) {
-        long reached = reached(voters, valueOf, enough);
-        return isJoint() ? Math.min(reached, reached(outgoing, valueOf, enough)) : reached;
+    long quorumValue(ToLongFunction<String> valueOf, IntUnaryOperator enough) {
+        long reached = quorumValue(voters, valueOf, enough);
+        return isJoint() ? Math.min(reached, quorumValue(outgoing, valueOf, enough)) : reached;
     }
 
-    private static long reached(List<String> group, ToLongFunction<String> valueOf, IntUnaryOperator enough) {
+    private static long quorumValue(List<String> group, ToLongFunction<String> valueOf, IntUnaryOperator enough) {
         if (group.isEmpty()) {
             return Long.MIN_VALUE;
         }
--- a/src/main/java/rowanplank/agreement/Write.java
+++ b/src/main/java/rowanplank/agreement/Write.java
@@ -24,7 +24,7 @@
     }
 
     /** This snapshot and what is behind it, in place of all that was written before. */
-    record Whole(Saved saved) implements Write {
+    record FullState(PersistentState saved) implements Write {
         @Override
         public long bytes() {
             return saved.snapshot().data().length + saved.entries().stream().mapToLong(Entry::bytes).sum();
--- a/src/main/java/rowanplank/fleet/Fleet.java
+++ b/src/main/java/rowanplank/fleet/Fleet.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import rowanplank.agreement.Agreement;
 import rowanplank.agreement.Message;
+import rowanplank.agreement.RaftNode;
 import rowanplank.config.Addresses;
 import rowanplank.config.ConfigException;
 import rowanplank.config.FleetConfig;
@@ -285,8 +285,8 @@
     }
 
     private void endWhenIdle() {
-        if (voter != null && halted == null && voter.agreement().role() == Agreement.Role.LEADER
-                && voter.agreement().handOver(loop.clock().now())) {
+        if (voter != null && halted == null && voter.agreement().role() == RaftNode.Role.LEADER
+                && voter.agreement().transferLeadership(loop.clock().now())) {
             Instant latest = loop.clock().now().plus(config.timing().election());
             loop.schedule(config.timing().heartbeat(), () -> endOnceHandedOn(latest));
         } else {
@@ -296,7 +296,7 @@
 
     /** No election is to be waited for; and whoever takes over may need this one's vote. */
     private void endOnceHandedOn(Instant latest) {
-        if (!stopped && halted == null && voter.agreement().role() == Agreement.Role.LEADER
+        if (!stopped && halted == null && voter.agreement().role() == RaftNode.Role.LEADER
                 && loop.clock().now().isBefore(latest)) {
             loop.schedule(config.timing().heartbeat(), () -> endOnceHandedOn(latest));
         } else {
@@ -918,21 +918,21 @@
         return o.add("holds", held).add("runs_begun", tasks.begun()).add("runs_ended", tasks.ended());
     }
 
-    private static void voterStatus(JsonObject o, Agreement a, Ledger l) {
+    private static void voterStatus(JsonObject o, RaftNode a, Ledger l) {
         o.add("role", a.role().name().toLowerCase(Locale.ROOT)).add("term", a.term())
                 .add("leader", a.leader() == null ? "" : a.leader())
                 .add("last", a.lastIndex()).add("decided", a.commitIndex()).add("applied", l.applied())
                 .add("chain", Long.toHexString(l.chain())).add("behind_snapshot", a.logSize());
         JsonArray voters = new JsonArray();
-        Map<String, Long> matches = a.matches();
+        Map<String, Long> matches = a.matchIndexes();
         for (String v : a.voters()) {
-            JsonObject one = new JsonObject().add("name", v).add("lost_memory", a.regressed().contains(v));
+            JsonObject one = new JsonObject().add("name", v).add("lost_memory", a.regressedVoters().contains(v));
             if (matches.containsKey(v)) {
                 one.add("lag", a.lastIndex() - matches.get(v));
             }
             voters.add(one);
         }
-        o.add("voters", voters).add("voters_decided", a.areVotersDecided());
+        o.add("voters", voters).add("voters_decided", a.isVoterChangeCommitted());
         JsonArray leases = new JsonArray();
         for (Ledger.Lease lease : l.leases()) {
             leases.add(new JsonObject().add("lease", lease.name()).add("fence", lease.fence())
--- a/src/main/java/rowanplank/fleet/Parts.java
+++ b/src/main/java/rowanplank/fleet/Parts.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
+import rowanplank.agreement.RaftNode;
 import rowanplank.fleet.wire.LedgerForm;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.BudgetHolder;
@@ -17,8 +17,8 @@
 
 /** What a fleet's node is made of. The laboratory and the trial put parts with a planted fault in their places. */
 public class Parts {
-    public Agreement agreement(Agreement.Settings settings, Saved saved, Instant now, Agreement.Actions actions) {
-        return new Agreement(settings, saved, now, actions);
+    public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+        return new RaftNode(settings, saved, now, actions);
     }
 
     public Ledger ledger(Ledger.Picture picture) {
--- a/src/main/java/rowanplank/fleet/Voter.java
+++ b/src/main/java/rowanplank/fleet/Voter.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import rowanplank.agreement.Agreement;
 import rowanplank.agreement.Entry;
 import rowanplank.agreement.Message;
+import rowanplank.agreement.RaftNode;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 import rowanplank.config.FleetConfig;
@@ -74,7 +74,7 @@
     private final Map<String, Integer> known = new TreeMap<>();
     private final Outside outside;
     private final StateFile file;
-    private final Agreement agreement;
+    private final RaftNode agreement;
     private final Ledger ledger;
     private final Desk desk;
     private final BudgetDesk budgets;
@@ -97,7 +97,7 @@
             file.cut(read.length());
             chain = read.chain();
             ledger = parts.ledger(LedgerForm.picture(read.saved().snapshot().data()));
-            agreement = parts.agreement(new Agreement.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
+            agreement = parts.agreement(new RaftNode.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
                     EnvelopeForm.MOST_CONTENT, MOST_UNDECIDED, seed), read.saved(), outside.now(), new Agreed());
         } catch (MalformedException e) {
             throw new IOException("the state in " + config.directory() + " can't be used: " + e.getMessage(), e);
@@ -118,7 +118,7 @@
                 p == null ? null : new WorkDesk.Places(p.whole(), p.fixed(), p.nodes()), h.zone());
     }
 
-    Agreement agreement() {
+    RaftNode agreement() {
         return agreement;
     }
 
@@ -183,7 +183,7 @@
             voters.remove(name);
         }
         boolean[] taken = new boolean[1];
-        turns.run(() -> taken[0] = agreement.proposeVoters(now, voters) > 0);
+        turns.run(() -> taken[0] = agreement.proposeVoterChange(now, voters) > 0);
         return taken[0];
     }
 
@@ -211,7 +211,7 @@
         outside.halt(what + "; this voter takes no part any more");
     }
 
-    private final class Agreed implements Agreement.Actions {
+    private final class Agreed implements RaftNode.Actions {
         @Override
         public void send(String to, Message message) {
             outside.send(to, message);
@@ -220,7 +220,7 @@
         @Override
         public void store(long number, Write write) {
             Runnable synced = () -> turns.run(() -> agreement.onStored(outside.now(), number));
-            if (write instanceof Write.Whole whole) {
+            if (write instanceof Write.FullState whole) {
                 DiskForm.Written written = DiskForm.anew(config.name(), config.node(), whole);
                 chain = written.chain();
                 file.replace(written.bytes(), synced);
@@ -248,7 +248,7 @@
         }
 
         @Override
-        public void leads(long term) {
+        public void becameLeader(long term) {
             raised = 0;
             turns.then(() -> desk.onLeads(outside.now()));
             turns.then(() -> budgets.onLeads(outside.now()));
@@ -259,7 +259,7 @@
         }
 
         @Override
-        public void leadsNoMore() {
+        public void lostLeadership() {
             turns.then(desk::onLeadsNoMore);
             turns.then(budgets::onLeadsNoMore);
             if (work != null) {
@@ -268,7 +268,7 @@
         }
 
         @Override
-        public void confirmed(long round) {
+        public void roundConfirmed(long round) {
             turns.then(() -> desk.onConfirmed(round));
             turns.then(() -> budgets.onConfirmed(round));
             if (work != null) {
@@ -303,7 +303,7 @@
             }
         }
         if (ledger.applied() == agreement.commitIndex()) {
-            if (agreement.decidedBehindSnapshot() >= config.timing().snapshot()) {
+            if (agreement.committedSinceSnapshot() >= config.timing().snapshot()) {
                 agreement.compact(LedgerForm.picture(ledger.picture()));
             }
             if (desk.leads() && ledger.applied() - audited >= AUDIT_EVERY) {
@@ -318,7 +318,7 @@
     private void handOn(Command command, Result result) {
         if (command instanceof Command.Turn t && result.kind() == Result.Kind.GRANTED && desk.leads()
                 && ledger.work().nodesOf(t.machine()).contains(config.node())) {
-            agreement.handOver(outside.now());
+            agreement.transferLeadership(outside.now());
         }
     }
 
@@ -366,7 +366,7 @@
 
         @Override
         public long confirm() {
-            return agreement.confirm(outside.now());
+            return agreement.confirmLeadership(outside.now());
         }
 
         @Override
@@ -401,7 +401,7 @@
 
         @Override
         public boolean hasMajorityWithout(Set<String> nodes) {
-            Map<String, Long> matches = agreement.matches();
+            Map<String, Long> matches = agreement.matchIndexes();
             long left = agreement.voters().stream().filter(v -> !nodes.contains(v) && (v.equals(config.node())
                     || outside.lives(v) && matches.containsKey(v) && agreement.lastIndex() - matches.get(v) <= CAUGHT_UP)).count();
             return left * 2 > agreement.voters().size();
--- a/src/main/java/rowanplank/fleet/wire/DiskForm.java
+++ b/src/main/java/rowanplank/fleet/wire/DiskForm.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 import rowanplank.fleet.wire.Unpacker.MalformedException;
@@ -29,7 +29,7 @@
      * @param length how much of the file is whole records; the rest is to be cut off
      * @param chain the last record's checksum
      */
-    public record Read(Saved saved, int length, int chain) { }
+    public record Read(PersistentState saved, int length, int chain) { }
 
     /** Written records, and the last one's checksum. */
     public record Written(byte[] bytes, int chain) { }
@@ -39,12 +39,12 @@
     /** A new file: its head, and no records but the voters at the beginning. */
     public static Written create(String fleet, String node, List<String> voters) {
         Written head = record(0, new Packer().octet(0).octet(VERSION).text(fleet).text(node).done());
-        Written beginning = write(head.chain(), new Write.Whole(Saved.nothing(voters)));
+        Written beginning = write(head.chain(), new Write.FullState(PersistentState.initial(voters)));
         return joined(head, beginning);
     }
 
     /** A file that holds only what this write says, in place of another. */
-    public static Written anew(String fleet, String node, Write.Whole whole) {
+    public static Written anew(String fleet, String node, Write.FullState whole) {
         Written head = record(0, new Packer().octet(0).octet(VERSION).text(fleet).text(node).done());
         return joined(head, write(head.chain(), whole));
     }
@@ -62,7 +62,7 @@
             vote(out, v.term(), v.vote());
         } else if (write instanceof Write.Entries e) {
             LogForm.entries(out.octet(2), e.entries());
-        } else if (write instanceof Write.Whole w) {
+        } else if (write instanceof Write.FullState w) {
             Snapshot s = w.saved().snapshot();
             out.octet(3);
             vote(out, w.saved().term(), w.saved().vote());
@@ -96,7 +96,7 @@
     /** @throws MalformedException if it is not this node's file, or damaged: one line says where */
     public static Read read(byte[] file, String fleet, String node) throws MalformedException {
         ByteBuffer in = ByteBuffer.wrap(file);
-        Saved saved = null;
+        PersistentState saved = null;
         int chain = 0;
         boolean first = true;
         while (in.remaining() >= HEAD) {
@@ -132,7 +132,7 @@
      *
      * @param fleet and node, the names in its head
      */
-    public record Recovered(String fleet, String node, Saved saved, int length, int chain) { }
+    public record Recovered(String fleet, String node, PersistentState saved, int length, int chain) { }
 
     /**
      * Reads a file whose writer syncs each write before it begins the next: then at most the last write is torn, nobody
@@ -144,7 +144,7 @@
     public static Recovered recover(byte[] file) {
         ByteBuffer in = ByteBuffer.wrap(file);
         String[] names = null;
-        Saved saved = null;
+        PersistentState saved = null;
         int chain = 0;
         int whole = 0;
         try {
@@ -194,27 +194,27 @@
         return names;
     }
 
-    private static Saved with(Saved before, Unpacker in, int start) throws MalformedException {
+    private static PersistentState with(PersistentState before, Unpacker in, int start) throws MalformedException {
         int kind = in.octet();
-        Saved after;
+        PersistentState after;
         if (kind == 3) {
             long term = in.number();
             String vote = in.flag() ? in.text() : null;
             Snapshot snapshot = new Snapshot(in.number(), in.number(), LogForm.names(in), in.bytes());
-            after = new Saved(term, vote, snapshot, LogForm.entries(in));
+            after = new PersistentState(term, vote, snapshot, LogForm.entries(in));
         } else if (before == null || kind < 1 || kind > 3) {
             throw new MalformedException("a record of kind " + kind + " at byte " + start);
         } else if (kind == 1) {
-            after = new Saved(in.number(), in.flag() ? in.text() : null, before.snapshot(), before.entries());
+            after = new PersistentState(in.number(), in.flag() ? in.text() : null, before.snapshot(), before.entries());
         } else {
-            after = new Saved(before.term(), before.vote(), before.snapshot(),
+            after = new PersistentState(before.term(), before.vote(), before.snapshot(),
                     joined(before, LogForm.entries(in), start));
         }
         in.end();
         return after;
     }
 
-    private static List<Entry> joined(Saved before, List<Entry> entries, int start) throws MalformedException {
+    private static List<Entry> joined(PersistentState before, List<Entry> entries, int start) throws MalformedException {
         long first = entries.isEmpty() ? -1 : entries.get(0).index();
         long kept = first - 1 - before.snapshot().index();
         if (kept < 0 || kept > before.entries().size()) {
--- a/src/main/java/rowanplank/fleet/wire/EnvelopeForm.java
+++ b/src/main/java/rowanplank/fleet/wire/EnvelopeForm.java
@@ -67,23 +67,23 @@
     }
 
     private static void message(Packer out, Message m) {
-        if (m instanceof Message.VoteAsk v) {
+        if (m instanceof Message.VoteRequest v) {
             out.octet(1).number(v.term()).flag(v.pre()).flag(v.handover()).number(v.lastIndex()).number(v.lastTerm());
-        } else if (m instanceof Message.VoteReply v) {
+        } else if (m instanceof Message.VoteResponse v) {
             out.octet(2).number(v.term()).flag(v.pre()).flag(v.granted());
-        } else if (m instanceof Message.Append a) {
+        } else if (m instanceof Message.AppendRequest a) {
             out.octet(3).number(a.term()).number(a.previous()).number(a.previousTerm()).number(a.commit())
                     .number(a.round());
             LogForm.entries(out, a.entries());
-        } else if (m instanceof Message.AppendReply a) {
+        } else if (m instanceof Message.AppendResponse a) {
             out.octet(4).number(a.term()).number(a.round()).flag(a.ok()).number(a.match());
-        } else if (m instanceof Message.Piece p) {
+        } else if (m instanceof Message.SnapshotChunk p) {
             out.octet(5).number(p.term()).number(p.round()).number(p.index()).number(p.indexTerm());
             LogForm.names(out, p.voters());
             out.number(p.whole()).number(p.offset()).bytes(p.bytes());
-        } else if (m instanceof Message.PieceReply p) {
+        } else if (m instanceof Message.SnapshotChunkResponse p) {
             out.octet(6).number(p.term()).number(p.round()).number(p.index()).number(p.have());
-        } else if (m instanceof Message.TakeOver t) {
+        } else if (m instanceof Message.TimeoutNow t) {
             out.octet(7).number(t.term());
         }
     }
@@ -170,15 +170,15 @@
 
     private static Message message(int kind, Unpacker in) throws MalformedException {
         return switch (kind) {
-            case 1 -> new Message.VoteAsk(in.number(), in.flag(), in.flag(), in.number(), in.number());
-            case 2 -> new Message.VoteReply(in.number(), in.flag(), in.flag());
-            case 3 -> new Message.Append(in.number(), in.number(), in.number(), in.number(), in.number(),
+            case 1 -> new Message.VoteRequest(in.number(), in.flag(), in.flag(), in.number(), in.number());
+            case 2 -> new Message.VoteResponse(in.number(), in.flag(), in.flag());
+            case 3 -> new Message.AppendRequest(in.number(), in.number(), in.number(), in.number(), in.number(),
                     LogForm.entries(in));
-            case 4 -> new Message.AppendReply(in.number(), in.number(), in.flag(), in.number());
-            case 5 -> new Message.Piece(in.number(), in.number(), in.number(), in.number(), LogForm.names(in),
+            case 4 -> new Message.AppendResponse(in.number(), in.number(), in.flag(), in.number());
+            case 5 -> new Message.SnapshotChunk(in.number(), in.number(), in.number(), in.number(), LogForm.names(in),
                     size(in), size(in), in.bytes());
-            case 6 -> new Message.PieceReply(in.number(), in.number(), in.number(), size(in));
-            case 7 -> new Message.TakeOver(in.number());
+            case 6 -> new Message.SnapshotChunkResponse(in.number(), in.number(), in.number(), size(in));
+            case 7 -> new Message.TimeoutNow(in.number());
             default -> throw new MalformedException("a message of kind " + kind + ", which this version does not know");
         };
     }
--- a/src/main/java/rowanplank/fleet/wire/LogForm.java
+++ b/src/main/java/rowanplank/fleet/wire/LogForm.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Membership;
+import rowanplank.agreement.VoterConfig;
 import rowanplank.fleet.wire.Unpacker.MalformedException;
 
 /** Entries of the log as bytes, alike in messages and on disk. */
@@ -31,7 +31,7 @@
         return entries;
     }
 
-    private static void membership(Packer out, Membership membership) {
+    private static void membership(Packer out, VoterConfig membership) {
         if (membership == null) {
             out.octet(UNCHANGED);
             return;
@@ -43,12 +43,12 @@
         }
     }
 
-    private static Membership membership(Unpacker in) throws MalformedException {
+    private static VoterConfig membership(Unpacker in) throws MalformedException {
         int kind = in.octet();
         return switch (kind) {
             case UNCHANGED -> null;
-            case VOTERS -> Membership.of(names(in));
-            case JOINT -> new Membership(names(in), names(in));
+            case VOTERS -> VoterConfig.of(names(in));
+            case JOINT -> new VoterConfig(names(in), names(in));
             default -> throw new MalformedException("no kind of change of voters: " + kind);
         };
     }
--- a/src/main/java/rowanplank/lab/trial/BudgetPlants.java
+++ b/src/main/java/rowanplank/lab/trial/BudgetPlants.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Supplier;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
+import rowanplank.agreement.RaftNode;
 import rowanplank.fleet.Parts;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.BudgetDesk;
@@ -89,7 +89,7 @@
             case "parts-never-lapse" -> waits((ledger, m) -> Duration.ofHours(1));
             case "parts-no-wait", "parts-unconfirmed" -> new Parts() {
                 @Override
-                public Agreement agreement(Agreement.Settings settings, Saved saved, Instant now, Agreement.Actions actions) {
+                public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
                     return name.equals("parts-no-wait") ? super.agreement(settings, saved, now, actions)
                             : Plants.parts("unconfirmed-renewal").agreement(settings, saved, now, actions);
                 }
--- a/src/main/java/rowanplank/lab/trial/Plants.java
+++ b/src/main/java/rowanplank/lab/trial/Plants.java
@@ -5,9 +5,9 @@
 import java.time.Instant;
 import java.util.Map;
 import java.util.TreeMap;
-import rowanplank.agreement.Agreement;
 import rowanplank.agreement.Message;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
+import rowanplank.agreement.RaftNode;
 import rowanplank.fleet.Parts;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Desk;
@@ -88,16 +88,16 @@
             };
             case "vote-forgotten" -> new Parts() {
                 @Override
-                public Agreement agreement(Agreement.Settings settings, Saved saved, Instant now,
-                        Agreement.Actions actions) {
-                    return new Agreement(settings, new Saved(0, null, saved.snapshot(), saved.entries()), now, actions);
+                public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
+                        RaftNode.Actions actions) {
+                    return new RaftNode(settings, new PersistentState(0, null, saved.snapshot(), saved.entries()), now, actions);
                 }
             };
             case "any-log-will-do", "older-terms-count", "unconfirmed-renewal", "half-is-enough", "no-log-check" ->
                     new Parts() {
                         @Override
-                        public Agreement agreement(Agreement.Settings settings, Saved saved, Instant now,
-                                Agreement.Actions actions) {
+                        public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
+                                RaftNode.Actions actions) {
                             return new WrongAgreement(name, settings, saved, now, actions);
                         }
                     };
@@ -160,27 +160,27 @@
     }
 
     /** An agreement with the fault of that name. */
-    private static final class WrongAgreement extends Agreement {
+    private static final class WrongAgreement extends RaftNode {
         private final String fault;
 
-        WrongAgreement(String fault, Settings settings, Saved saved, Instant now, Actions actions) {
+        WrongAgreement(String fault, Settings settings, PersistentState saved, Instant now, Actions actions) {
             super(settings, saved, now, actions);
             this.fault = fault;
         }
 
         @Override
-        protected boolean isUpToDate(Message.VoteAsk m) {
+        protected boolean isUpToDate(Message.VoteRequest m) {
             return fault.equals("any-log-will-do") || super.isUpToDate(m);
         }
 
         @Override
-        protected boolean mayCount(long index) {
-            return fault.equals("older-terms-count") || super.mayCount(index);
+        protected boolean mayCommitByCounting(long index) {
+            return fault.equals("older-terms-count") || super.mayCommitByCounting(index);
         }
 
         @Override
-        protected int enough(int voters) {
-            return fault.equals("unconfirmed-renewal") ? 1 : super.enough(voters);
+        protected int leaderQuorum(int voters) {
+            return fault.equals("unconfirmed-renewal") ? 1 : super.leaderQuorum(voters);
         }
 
         @Override
@@ -189,8 +189,8 @@
         }
 
         @Override
-        protected boolean isAlike(Message.Append m, long previous) {
-            return fault.equals("no-log-check") || super.isAlike(m, previous);
+        protected boolean isLogConsistent(Message.AppendRequest m, long previous) {
+            return fault.equals("no-log-check") || super.isLogConsistent(m, previous);
         }
     }
 
--- a/src/main/java/rowanplank/lab/trial/SameParts.java
+++ b/src/main/java/rowanplank/lab/trial/SameParts.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
+import rowanplank.agreement.RaftNode;
 import rowanplank.fleet.Parts;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.BudgetHolder;
@@ -27,9 +27,9 @@
     static Parts withMessages(Parts parts, int mostBytes) {
         return new SameParts(parts) {
             @Override
-            public Agreement agreement(Agreement.Settings s, Saved saved, Instant now, Agreement.Actions actions) {
-                return super.agreement(new Agreement.Settings(s.self(), s.election(), s.heartbeat(), mostBytes,
-                        s.mostUndecided(), s.seed()), saved, now, actions);
+            public RaftNode agreement(RaftNode.Settings s, PersistentState saved, Instant now, RaftNode.Actions actions) {
+                return super.agreement(new RaftNode.Settings(s.self(), s.electionTimeout(), s.heartbeatInterval(), mostBytes,
+                        s.maxUncommitted(), s.seed()), saved, now, actions);
             }
         };
     }
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Agreement agreement(Agreement.Settings settings, Saved saved, Instant now, Agreement.Actions actions) {
+    public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return parts.agreement(settings, saved, now, actions);
     }
 
--- a/src/test/java/routerfleet/control/FaultyAgreement.java
+++ b/src/test/java/routerfleet/control/FaultyAgreement.java
@@ -1,25 +1,25 @@
 package routerfleet.control;
 
 import java.time.Instant;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Membership;
 import rowanplank.agreement.Message;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
+import rowanplank.agreement.RaftNode;
+import rowanplank.agreement.VoterConfig;
 
 /** An agreement with a planted fault. */
-final class FaultyAgreement extends Agreement {
+final class FaultyAgreement extends RaftNode {
     private final PlantedFault fault;
     private byte[] olderState;
 
-    FaultyAgreement(PlantedFault fault, Settings settings, Saved saved, Instant now, Actions actions) {
+    FaultyAgreement(PlantedFault fault, Settings settings, PersistentState saved, Instant now, Actions actions) {
         super(settings, fault == PlantedFault.VOTE_FORGOTTEN
-                ? new Saved(saved.term(), null, saved.snapshot(), saved.entries()) : saved, now, actions);
+                ? new PersistentState(saved.term(), null, saved.snapshot(), saved.entries()) : saved, now, actions);
         this.fault = fault;
     }
 
     @Override
-    protected int enough(int voters) {
-        return fault == PlantedFault.LEADERSHIP_UNCONFIRMED ? 1 : super.enough(voters);
+    protected int leaderQuorum(int voters) {
+        return fault == PlantedFault.LEADERSHIP_UNCONFIRMED ? 1 : super.leaderQuorum(voters);
     }
 
     @Override
@@ -28,33 +28,33 @@
     }
 
     @Override
-    protected Membership deciding() {
-        return fault == PlantedFault.NEW_GROUP_DECIDES_ALONE ? Membership.of(voters()) : super.deciding();
+    protected VoterConfig decidingConfig() {
+        return fault == PlantedFault.NEW_GROUP_DECIDES_ALONE ? VoterConfig.of(voters()) : super.decidingConfig();
     }
 
     @Override
-    protected boolean isUpToDate(Message.VoteAsk m) {
+    protected boolean isUpToDate(Message.VoteRequest m) {
         return fault == PlantedFault.ANY_LOG_WILL_DO || super.isUpToDate(m);
     }
 
     @Override
-    protected boolean mayCount(long index) {
-        return fault == PlantedFault.OLDER_TERMS_COUNT || super.mayCount(index);
+    protected boolean mayCommitByCounting(long index) {
+        return fault == PlantedFault.OLDER_TERMS_COUNT || super.mayCommitByCounting(index);
     }
 
     @Override
-    protected boolean isAlike(Message.Append m, long previous) {
-        return fault == PlantedFault.NO_LOG_CHECK && previous <= lastIndex() || super.isAlike(m, previous);
+    protected boolean isLogConsistent(Message.AppendRequest m, long previous) {
+        return fault == PlantedFault.NO_LOG_CHECK && previous <= lastIndex() || super.isLogConsistent(m, previous);
     }
 
     @Override
-    protected boolean keepsSnapshotUnderWay() {
-        return fault != PlantedFault.SNAPSHOT_BEGINS_ANEW && super.keepsSnapshotUnderWay();
+    protected boolean keepsStartedSnapshot() {
+        return fault != PlantedFault.SNAPSHOT_BEGINS_ANEW && super.keepsStartedSnapshot();
     }
 
     @Override
-    public boolean holdsAllDecided(String name) {
-        return fault == PlantedFault.NEWCOMERS_VOTE_EMPTY || super.holdsAllDecided(name);
+    public boolean hasAllCommitted(String name) {
+        return fault == PlantedFault.NEWCOMERS_VOTE_EMPTY || super.hasAllCommitted(name);
     }
 
     @Override
--- a/src/test/java/routerfleet/control/FaultyParts.java
+++ b/src/test/java/routerfleet/control/FaultyParts.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Executor;
-import rowanplank.agreement.Agreement;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.RaftNode;
+import rowanplank.agreement.PersistentState;
 import routerfleet.config.ConfigChange;
 import routerfleet.config.ConfigStore;
 import routerfleet.settings.LocalSettings;
@@ -24,7 +24,7 @@
     }
 
     @Override
-    Agreement agreement(Agreement.Settings settings, Saved saved, Instant now, Agreement.Actions actions) {
+    RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return fault.agreement(settings, saved, now, actions);
     }
 
--- a/src/test/java/routerfleet/control/PlantedFault.java
+++ b/src/test/java/routerfleet/control/PlantedFault.java
@@ -1,7 +1,7 @@
 package routerfleet.control;
 
 import io.netty.channel.ChannelPipeline;
-import rowanplank.agreement.Agreement;
+import rowanplank.agreement.RaftNode;
 import routerfleet.config.ConfigStore;
 import routerfleet.simulation.VirtualProcess;
 
@@ -170,8 +170,8 @@
     }
 
     /** Makes the agreement with this fault. */
-    Agreement agreement(Agreement.Settings settings, rowanplank.agreement.Saved saved, java.time.Instant now,
-            Agreement.Actions actions) {
+    RaftNode agreement(RaftNode.Settings settings, rowanplank.agreement.PersistentState saved, java.time.Instant now,
+            RaftNode.Actions actions) {
         return new FaultyAgreement(this, settings, saved, now, actions);
     }
 
--- a/src/test/java/routerfleet/control/ReplicaGroupTest.java
+++ b/src/test/java/routerfleet/control/ReplicaGroupTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rowanplank.agreement.Entry;
 import rowanplank.agreement.Message;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import routerfleet.config.ConfigOrder;
 import routerfleet.config.Evacuations;
@@ -41,10 +41,10 @@
     }
 
     private ReplicaGroup group(ReplicaGroup.Surroundings surroundings) throws Exception {
-        return group(Saved.nothing(List.of(SELF)), surroundings);
+        return group(PersistentState.initial(List.of(SELF)), surroundings);
     }
 
-    private ReplicaGroup group(Saved saved, ReplicaGroup.Surroundings surroundings) throws Exception {
+    private ReplicaGroup group(PersistentState saved, ReplicaGroup.Surroundings surroundings) throws Exception {
         storage = new ReplicaStorage(folder, loop);
         storage.open();
         storage.start(SELF, saved);
@@ -67,8 +67,8 @@
     @Test
     void aReplicaThatCanNotReadWhatWasDecidedTakesNoPart() throws Exception {
         byte[] ofALaterBuild = {(byte) 0x90, 1, 2, 3};
-        Saved saved = new Saved(1, SELF, Snapshot.beginning(List.of(SELF)),
-                List.of(Entry.command(1, 1, ofALaterBuild), Entry.opening(2, 1)));
+        PersistentState saved = new PersistentState(1, SELF, Snapshot.initial(List.of(SELF)),
+                List.of(Entry.command(1, 1, ofALaterBuild), Entry.noOp(2, 1)));
         CompletableFuture<Void> halted = new CompletableFuture<>();
         ReplicaGroup group = group(saved, new Quiet());
         Runnable[] watch = new Runnable[1];
--- a/src/test/java/routerfleet/control/ReplicaStorageTest.java
+++ b/src/test/java/routerfleet/control/ReplicaStorageTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 
@@ -42,7 +42,7 @@
     private void fill(int entries) throws IOException {
         try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
             assertThat(storage.open(), is(nullValue()));
-            storage.start("a/0", Saved.nothing(VOTERS));
+            storage.start("a/0", PersistentState.initial(VOTERS));
             store(storage, new Write.Vote(1, "b/0"));
             for (int i = 1; i <= entries; i++) {
                 store(storage, new Write.Entries(List.of(entry(i))));
@@ -97,7 +97,7 @@
         try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
             storage.open();
             storage.start("a/0", null);
-            store(storage, new Write.Whole(new Saved(1, "b/0", snapshot, List.of())));
+            store(storage, new Write.FullState(new PersistentState(1, "b/0", snapshot, List.of())));
         }
         Path fresh = folder.resolve(old.endsWith("slot-1") ? "slot-0" : "slot-1");
         byte[] freshBytes = Files.readAllBytes(fresh);
@@ -137,11 +137,11 @@
         try (ReplicaStorage storage = new ReplicaStorage(new FolderDisk(folder, refusesOnce), Runnable::run,
                 new DiskWriter.Thread())) {
             storage.start("a/0", null);
-            store(storage, new Write.Whole(Saved.nothing(VOTERS)));
+            store(storage, new Write.FullState(PersistentState.initial(VOTERS)));
             assertThat(syncs.get(), is(2));
-            store(storage, new Write.Whole(Saved.nothing(VOTERS)));
+            store(storage, new Write.FullState(PersistentState.initial(VOTERS)));
             assertThat("the other slot", syncs.get(), is(3));
-            store(storage, new Write.Whole(Saved.nothing(VOTERS)));
+            store(storage, new Write.FullState(PersistentState.initial(VOTERS)));
             assertThat("the first slot again", syncs.get(), is(3));
         }
     }
@@ -158,7 +158,7 @@
         try (ReplicaStorage storage = new ReplicaStorage(new FolderDisk(folder, hangs), Runnable::run,
                 new DiskWriter.Thread())) {
             storage.open();
-            storage.start("a/0", Saved.nothing(VOTERS));
+            storage.start("a/0", PersistentState.initial(VOTERS));
             hanging.get(20, TimeUnit.SECONDS);
             CompletableFuture<Void> last = new CompletableFuture<>();
             int writes = 0;
@@ -180,7 +180,7 @@
     void aFoundersFirstStateIsOnDiskBeforeItBegins() throws IOException {
         try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
             storage.open();
-            storage.found("a/0", Saved.nothing(VOTERS));
+            storage.found("a/0", PersistentState.initial(VOTERS));
             assertThat(open().replica(), is("a/0"));
         }
     }
--- a/src/test/java/routerfleet/wire/PeerCodecTest.java
+++ b/src/test/java/routerfleet/wire/PeerCodecTest.java
@@ -30,7 +30,7 @@
 import routerfleet.journal.Origin;
 import routerfleet.journal.OriginState;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Membership;
+import rowanplank.agreement.VoterConfig;
 import rowanplank.agreement.Message;
 
 /** Messages and stored records as bytes and back. */
@@ -46,13 +46,13 @@
     private static final List<PeerMessage> MESSAGES = List.of(
             new PeerMessage.Ping(-1), new PeerMessage.Pong(Long.MAX_VALUE),
             new PeerMessage.ControlHello("core-1", "10.0.0.1", "hall", "10.0.0.1/7", List.of("10.0.0.1", "10.0.0.2")),
-            replication(new Message.VoteAsk(7, true, false, 4, 3)), replication(new Message.VoteReply(7, false, true)),
-            replication(new Message.Append(7, 4, 3, 2, 99, List.of(Entry.opening(5, 7),
-                    Entry.changing(6, 7, new Membership(List.of("a", "b"), List.of("c"))),
+            replication(new Message.VoteRequest(7, true, false, 4, 3)), replication(new Message.VoteResponse(7, false, true)),
+            replication(new Message.AppendRequest(7, 4, 3, 2, 99, List.of(Entry.noOp(5, 7),
+                    Entry.configChange(6, 7, new VoterConfig(List.of("a", "b"), List.of("c"))),
                     Entry.command(7, 7, new byte[] {1, -2, 3})))),
-            replication(new Message.AppendReply(7, 99, true, 6)),
-            replication(new Message.Piece(7, 99, 5, 3, List.of("a"), 500, 100, new byte[50])),
-            replication(new Message.PieceReply(7, 99, 5, 150)), replication(new Message.TakeOver(8)),
+            replication(new Message.AppendResponse(7, 99, true, 6)),
+            replication(new Message.SnapshotChunk(7, 99, 5, 3, List.of("a"), 500, 100, new byte[50])),
+            replication(new Message.SnapshotChunkResponse(7, 99, 5, 150)), replication(new Message.TimeoutNow(8)),
             new PeerMessage.OrderRequest(1L << 60, ORDER), new PeerMessage.OrderReply(2, 412, "version 6 is current"),
             new PeerMessage.ReadIndexRequest(5), new PeerMessage.ReadIndexReply(5, -1),
             new PeerMessage.Sessions(3, List.of(SERVER)), new PeerMessage.SessionsAck(3),
--- a/src/test/java/rowanplank/agreement/StoredBarrierTest.java
+++ b/src/test/java/rowanplank/agreement/DurabilityBarrierTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Messages that wait for writes. */
-class StoredBarrierTest {
-    private final StoredBarrier<String> barrier = new StoredBarrier<>(3);
+class DurabilityBarrierTest {
+    private final DurabilityBarrier<String> barrier = new DurabilityBarrier<>(3);
 
     /** Guards what a message rests on: it goes once all writes before it are done, and in its order. */
     @Test
--- a/src/test/java/rowanplank/agreement/JointConsensusTest.java
+++ b/src/test/java/rowanplank/agreement/JointConsensusTest.java
@@ -28,7 +28,7 @@
 
     /** Voters whose disks are quick and whose messages go at once, but for those that are cut off. */
     private static final class Group {
-        final Map<String, Agreement> all = new TreeMap<>();
+        final Map<String, RaftNode> all = new TreeMap<>();
         final Map<String, List<Entry>> decided = new TreeMap<>();
         final Map<String, byte[]> restored = new TreeMap<>();
         final TreeSet<String> cut = new TreeSet<>();
@@ -37,13 +37,13 @@
         final List<Message> pieces = new ArrayList<>();
         Instant now = Instant.EPOCH;
 
-        void start(String name, Saved saved) {
+        void start(String name, PersistentState saved) {
             decided.put(name, new ArrayList<>());
             Deque<Runnable> disk = new ArrayDeque<>();
             disks.put(name, disk);
-            Agreement[] self = new Agreement[1];
-            self[0] = new Agreement(new Agreement.Settings(name, ELECTION, ELECTION, HEARTBEAT, PIECE_BYTES, 100,
-                    Agreement.Transport.CONNECTIONS, name.hashCode()), saved, now, new Agreement.Actions() {
+            RaftNode[] self = new RaftNode[1];
+            self[0] = new RaftNode(new RaftNode.Settings(name, ELECTION, ELECTION, HEARTBEAT, PIECE_BYTES, 100,
+                    RaftNode.Transport.CONNECTIONS, name.hashCode()), saved, now, new RaftNode.Actions() {
                         @Override
                         public void send(String to, Message m) {
                             underWay.add(new Sent(name, to, m));
@@ -66,17 +66,17 @@
                         }
 
                         @Override
-                        public void leads(long term) {
+                        public void becameLeader(long term) {
                             // of no interest here
                         }
 
                         @Override
-                        public void leadsNoMore() {
+                        public void lostLeadership() {
                             // of no interest here
                         }
 
                         @Override
-                        public void confirmed(long round) {
+                        public void roundConfirmed(long round) {
                             // of no interest here
                         }
                     });
@@ -89,7 +89,7 @@
                 if (sent.message() == null) {
                     disks.get(sent.from()).poll().run();
                 } else if (!cut.contains(sent.from()) && !cut.contains(sent.to()) && all.containsKey(sent.to())) {
-                    if (sent.message() instanceof Message.Piece piece && piece.bytes().length > 0) {
+                    if (sent.message() instanceof Message.SnapshotChunk piece && piece.bytes().length > 0) {
                         pieces.add(piece);
                     }
                     all.get(sent.to()).onMessage(now, sent.from(), sent.message());
@@ -124,7 +124,7 @@
         String describe() {
             StringBuilder text = new StringBuilder("cut " + cut);
             all.forEach((name, a) -> text.append("; ").append(name).append(' ').append(a.role()).append(" term ")
-                    .append(a.term()).append(' ').append(a.membership()).append(" log ").append(a.commitIndex()).append('/')
+                    .append(a.term()).append(' ').append(a.voterConfig()).append(" log ").append(a.commitIndex()).append('/')
                     .append(a.lastIndex()));
             return text.toString();
         }
@@ -134,7 +134,7 @@
                     .map(Map.Entry::getKey).findFirst().orElse(null);
         }
 
-        Agreement leader() {
+        RaftNode leader() {
             return all.get(leaderName());
         }
 
@@ -145,9 +145,9 @@
 
     private static Group settled() {
         Group g = new Group();
-        THREE.forEach(name -> g.start(name, Saved.nothing(THREE)));
+        THREE.forEach(name -> g.start(name, PersistentState.initial(THREE)));
         g.pass(1_500);
-        g.start("d", Saved.nothing(List.of()));
+        g.start("d", PersistentState.initial(List.of()));
         return g;
     }
 
@@ -162,29 +162,29 @@
         Group g = settled();
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
-        assertThat(g.leader().changeVoters(swapped(g.follower())), is(0L));
+        assertThat(g.leader().proposeJointChange(swapped(g.follower())), is(0L));
         g.cut.add("d");
-        g.leader().learners(g.now, List.of("d"));
+        g.leader().setLearners(g.now, List.of("d"));
         g.pass(500);
-        assertThat("it is cut off", g.leader().changeVoters(swapped(g.follower())), is(0L));
+        assertThat("it is cut off", g.leader().proposeJointChange(swapped(g.follower())), is(0L));
         g.cut.clear();
-        g.leader().reconnected(g.now, "d");
+        g.leader().onReconnected(g.now, "d");
         g.pass(200);
         assertThat(g.decided.get("d").size(), is(g.decided.get(g.leaderName()).size()));
-        assertThat(g.leader().changeVoters(swapped(g.follower())), is(greaterThan(0L)));
+        assertThat(g.leader().proposeJointChange(swapped(g.follower())), is(greaterThan(0L)));
     }
 
     @Test
     void oneVoterTakesThePlaceOfAnotherInOneStep() {
         Group g = settled();
         String out = g.follower();
-        g.leader().learners(g.now, List.of("d"));
+        g.leader().setLearners(g.now, List.of("d"));
         g.pass(200);
-        g.leader().changeVoters(swapped(out));
-        assertThat(g.leader().changeVoters(THREE), is(0L));
+        g.leader().proposeJointChange(swapped(out));
+        assertThat(g.leader().proposeJointChange(THREE), is(0L));
         g.pass(300);
         assertThat(g.leader().voters(), is(swapped(out)));
-        assertThat(g.leader().membership().isJoint(), is(false));
+        assertThat(g.leader().voterConfig().isJoint(), is(false));
         assertThat(g.all.get("d").voters(), is(swapped(out)));
     }
 
@@ -194,12 +194,12 @@
         Group g = settled();
         String out = g.follower();
         String stays = THREE.stream().filter(n -> !n.equals(out) && !n.equals(g.leaderName())).findFirst().orElseThrow();
-        g.leader().learners(g.now, List.of("d"));
+        g.leader().setLearners(g.now, List.of("d"));
         g.pass(200);
         g.cut.addAll(List.of(out, stays)); // the leader and the newcomer: two of the new three, one of the old
-        g.leader().changeVoters(swapped(out));
+        g.leader().proposeJointChange(swapped(out));
         long before = g.leader().commitIndex();
-        Agreement leader = g.leader();
+        RaftNode leader = g.leader();
         g.pass(200);
         assertThat(leader.commitIndex(), is(before));
         g.pass(1_000);
@@ -212,10 +212,10 @@
         for (int delivered = 0; delivered < 40; delivered++) {
             Group g = settled();
             String out = g.follower();
-            g.leader().learners(g.now, List.of("d"));
+            g.leader().setLearners(g.now, List.of("d"));
             g.pass(200);
             String first = g.leaderName();
-            g.leader().changeVoters(swapped(out));
+            g.leader().proposeJointChange(swapped(out));
             g.settle(delivered);
             g.cut.add(first);
             g.underWay.clear();
@@ -230,7 +230,7 @@
             assertThat("after " + delivered + " deliveries", g.leader().propose(g.now, new byte[] {7}) > 0, is(true));
             g.pass(400);
             assertThat(g.leader().commitIndex(), is(g.leader().lastIndex()));
-            assertThat(g.leader().membership().isJoint(), is(false));
+            assertThat(g.leader().voterConfig().isJoint(), is(false));
         }
     }
 
@@ -238,9 +238,9 @@
     void aLeaderThatIsChangedOutStepsDownOnceThatIsDecided() {
         Group g = settled();
         String out = g.leaderName();
-        g.leader().learners(g.now, List.of("d"));
+        g.leader().setLearners(g.now, List.of("d"));
         g.pass(200);
-        g.leader().changeVoters(swapped(out));
+        g.leader().proposeJointChange(swapped(out));
         g.pass(3_000);
         assertThat(g.leaderName(), is(not(out)));
         assertThat(g.leader().voters(), is(swapped(out)));
@@ -260,7 +260,7 @@
             g.pass(5);
         }
         g.leader().compact(new byte[50 * PIECE_BYTES]);
-        g.leader().learners(g.now, List.of("d"));
+        g.leader().setLearners(g.now, List.of("d"));
         for (int i = 0; i < 400 && g.restored.get("d") == null; i++) {
             g.now = g.now.plusMillis(5);
             g.leader().onTime(g.now);
@@ -296,7 +296,7 @@
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
         IllegalArgumentException refused = org.junit.jupiter.api.Assertions.assertThrows(IllegalArgumentException.class,
-                () -> g.leader().compact(new byte[Agreement.MOST_SNAPSHOT_BYTES + 1]));
-        assertThat(refused.getMessage().contains(String.valueOf(Agreement.MOST_SNAPSHOT_BYTES)), is(true));
+                () -> g.leader().compact(new byte[RaftNode.MAX_SNAPSHOT_BYTES + 1]));
+        assertThat(refused.getMessage().contains(String.valueOf(RaftNode.MAX_SNAPSHOT_BYTES)), is(true));
     }
 }
--- a/src/test/java/rowanplank/agreement/AgreementTest.java
+++ b/src/test/java/rowanplank/agreement/RaftNodeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The agreement by itself, message by message; whole fleets under faults are played by VirtualTrialTest. */
-class AgreementTest {
+class RaftNodeTest {
     private static final Instant ZERO = Instant.parse("2026-01-01T00:00:00Z");
     private static final Duration ELECTION = Duration.ofMillis(300);
 
@@ -27,7 +27,7 @@
 
     /** Voters whose disks are quick and whose messages go at once, but for those that are cut off. */
     private static final class Group {
-        final Map<String, Agreement> voters = new TreeMap<>();
+        final Map<String, RaftNode> voters = new TreeMap<>();
         final Map<String, List<Entry>> decided = new TreeMap<>();
         final Map<String, byte[]> restored = new TreeMap<>();
         final List<String> told = new ArrayList<>();
@@ -52,14 +52,14 @@
             for (int i = 1; i <= count; i++) {
                 names.add("v" + i);
             }
-            names.forEach(n -> start(n, Saved.nothing(names)));
+            names.forEach(n -> start(n, PersistentState.initial(names)));
         }
 
-        void start(String name, Saved saved) {
+        void start(String name, PersistentState saved) {
             decided.put(name, new ArrayList<>());
             Deque<Runnable> stored = new ArrayDeque<>();
-            Agreement[] self = new Agreement[1];
-            Agreement.Actions actions = new Agreement.Actions() {
+            RaftNode[] self = new RaftNode[1];
+            RaftNode.Actions actions = new RaftNode.Actions() {
                 @Override
                 public void send(String to, Message m) {
                     under.add(new Sent(name, to, m));
@@ -83,25 +83,25 @@
                 }
 
                 @Override
-                public void leads(long term) {
+                public void becameLeader(long term) {
                     told.add(name + " leads " + term);
                 }
 
                 @Override
-                public void leadsNoMore() {
+                public void lostLeadership() {
                     told.add(name + " leads no more");
                 }
 
                 @Override
-                public void confirmed(long round) {
+                public void roundConfirmed(long round) {
                     told.add(name + " confirmed " + round);
                 }
             };
-            self[0] = new Agreement(new Agreement.Settings(name, ELECTION, firstElection, Duration.ofMillis(75),
+            self[0] = new RaftNode(new RaftNode.Settings(name, ELECTION, firstElection, Duration.ofMillis(75),
                     mostBytes, 100, name.hashCode()), saved, now, actions) {
                 @Override
-                protected boolean mayCount(long index) {
-                    return countOlder || super.mayCount(index);
+                protected boolean mayCommitByCounting(long index) {
+                    return countOlder || super.mayCommitByCounting(index);
                 }
             };
             voters.put(name, self[0]);
@@ -124,7 +124,7 @@
         }
 
         private void deliver(Sent s) {
-            if (s.message() instanceof Message.Piece p) {
+            if (s.message() instanceof Message.SnapshotChunk p) {
                 longestPiece = Math.max(longestPiece, p.bytes().length + String.join(" ", p.voters()).length());
             }
             if (s.message() == null) {
@@ -142,7 +142,7 @@
             }
         }
 
-        Agreement leader() {
+        RaftNode leader() {
             return voters.values().stream().filter(v -> v.isEstablished() && !cut.contains(v.leader())).findFirst()
                     .orElseThrow();
         }
@@ -184,10 +184,10 @@
     void aLeaderThatWasReplacedConfirmsNothingAndStepsDown() {
         Group g = settled(3);
         String old = g.leaderName();
-        Agreement replaced = g.leader();
+        RaftNode replaced = g.leader();
         g.cut.add(old);
         g.told.clear();
-        long round = replaced.confirm(g.now.plusMillis(10));
+        long round = replaced.confirmLeadership(g.now.plusMillis(10));
         assertTrue(round > 0);
         g.pass(1500);
         assertTrue(g.told.stream().noneMatch(t -> t.startsWith(old + " confirmed")), g.told::toString);
@@ -204,7 +204,7 @@
         assertTrue(g.told.stream().anyMatch(t -> t.contains("leads")), g.told::toString);
         String leader = g.leaderName();
         long term = g.leader().term();
-        g.start(g.other(leader), Saved.nothing(g.leader().voters()));
+        g.start(g.other(leader), PersistentState.initial(g.leader().voters()));
         g.pass(5000);
         assertEquals(leader, g.leaderName(), "one that starts alone unseats nobody");
         assertEquals(term, g.leader().term());
@@ -212,7 +212,7 @@
 
     private static List<String> reachAll(Group g) {
         List<String> all = List.copyOf(g.voters.keySet());
-        g.voters.values().forEach(v -> v.reachable(g.now, all));
+        g.voters.values().forEach(v -> v.setReachable(g.now, all));
         return all;
     }
 
@@ -233,8 +233,8 @@
         Group g = new Group(3, false, 1000);
         g.cut.add("v1");
         List<String> all = List.copyOf(g.voters.keySet());
-        g.voters.get("v2").reachable(g.now, all);
-        g.voters.get("v3").reachable(g.now, all);
+        g.voters.get("v2").setReachable(g.now, all);
+        g.voters.get("v3").setReachable(g.now, all);
         g.pass(1000);
         assertTrue(g.told.stream().anyMatch(t -> t.startsWith("v2 leads") || t.startsWith("v3 leads")), g.told::toString);
     }
@@ -270,7 +270,7 @@
             if (!name.equals(behind) && !log.contains(seven)) {
                 log.add(seven);
             }
-            g.start(name, new Saved(1, null, Saved.nothing(names).snapshot(), log));
+            g.start(name, new PersistentState(1, null, PersistentState.initial(names).snapshot(), log));
         }
         g.under.clear();
         g.told.clear();
@@ -321,7 +321,7 @@
     @Test
     void aLogIsNotLongerThanItsBound() {
         Group g = settled(3);
-        Agreement leader = g.leader();
+        RaftNode leader = g.leader();
         List<String> others = g.voters.keySet().stream().filter(v -> !v.equals(g.leaderName())).toList();
         int taken = 0;
         for (int i = 0; i < 250; i++) {
@@ -342,8 +342,8 @@
         List<Message> sent = new ArrayList<>();
         for (byte i = 1; i <= 50; i++) {
             assertTrue(g.leader().propose(g.now, new byte[] {i}) > 0);
-            g.settle(m -> !(m instanceof Message.AppendReply)
-                    && (!(m instanceof Message.Append a) || a.entries().isEmpty() || sent.add(m)));
+            g.settle(m -> !(m instanceof Message.AppendResponse)
+                    && (!(m instanceof Message.AppendRequest a) || a.entries().isEmpty() || sent.add(m)));
         }
         assertEquals(2 * 8, sent.size(), "to two voters");
         g.pass(1000);
@@ -354,7 +354,7 @@
     void leadershipIsHandedOnWithoutAnElectionsWait() {
         Group g = settled(3);
         String old = g.leaderName();
-        assertTrue(g.leader().handOver(g.now));
+        assertTrue(g.leader().transferLeadership(g.now));
         g.settle();
         assertFalse(g.leaderName().equals(old));
         assertEquals(ZERO.plusMillis(1500), g.now, "no time has passed");
@@ -363,16 +363,16 @@
     @Test
     void votersChangeOneAtATime() {
         Group g = settled(3);
-        g.start("v4", new Saved(0, null, Snapshot.beginning(List.of("v1", "v2", "v3")), List.of()));
-        assertEquals(0, g.leader().proposeVoters(g.now, List.of("v1", "v2", "v4")), "two names differ");
-        assertTrue(g.leader().proposeVoters(g.now, List.of("v1", "v2", "v3", "v4")) > 0);
-        assertEquals(0, g.leader().proposeVoters(g.now, List.of("v1", "v2", "v3")), "one is not decided yet");
+        g.start("v4", new PersistentState(0, null, Snapshot.initial(List.of("v1", "v2", "v3")), List.of()));
+        assertEquals(0, g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v4")), "two names differ");
+        assertTrue(g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v3", "v4")) > 0);
+        assertEquals(0, g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v3")), "one is not decided yet");
         g.pass(300);
         assertEquals(g.decided.get("v1").size(), g.decided.get("v4").size());
         String leader = g.leaderName();
         List<String> left = new ArrayList<>(g.leader().voters());
         left.remove(leader);
-        assertTrue(g.leader().proposeVoters(g.now, left) > 0);
+        assertTrue(g.leader().proposeVoterChange(g.now, left) > 0);
         g.pass(2000);
         assertFalse(g.leaderName().equals(leader), "a leader that votes no more steps down");
     }
@@ -387,16 +387,16 @@
         Group g = new Group(3, countOlder, 1); // one entry a message
         List<String> names = List.of("v1", "v2", "v3");
         Entry old = Entry.command(1, 2, new byte[] {1});
-        g.start("v1", new Saved(3, null, Snapshot.beginning(names), List.of(old)));
-        g.start("v3", new Saved(3, null, Snapshot.beginning(names), List.of(Entry.opening(1, 3))));
-        g.start("v2", new Saved(3, null, Snapshot.beginning(names), List.of()));
-        Agreement v1 = g.voters.get("v1");
+        g.start("v1", new PersistentState(3, null, Snapshot.initial(names), List.of(old)));
+        g.start("v3", new PersistentState(3, null, Snapshot.initial(names), List.of(Entry.noOp(1, 3))));
+        g.start("v2", new PersistentState(3, null, Snapshot.initial(names), List.of()));
+        RaftNode v1 = g.voters.get("v1");
         g.cut.add("v3");
         // v1 wins term 4 with the vote of v2, and brings it the old entry, but not its own opening one.
-        while (v1.role() != Agreement.Role.LEADER) {
+        while (v1.role() != RaftNode.Role.LEADER) {
             g.now = g.now.plusMillis(5);
             v1.onTime(g.now);
-            g.settle(m -> !(m instanceof Message.Append) || g.voters.get("v2").lastIndex() == 0);
+            g.settle(m -> !(m instanceof Message.AppendRequest) || g.voters.get("v2").lastIndex() == 0);
         }
         assertEquals(1, g.voters.get("v2").lastIndex());
         boolean counted = g.decided.get("v1").contains(old);
@@ -410,16 +410,16 @@
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
         String leader = g.leaderName();
-        Agreement leads = g.leader();
+        RaftNode leads = g.leader();
         String older = g.other(leader);
-        g.start(older, Saved.nothing(List.of("v1", "v2", "v3")));
+        g.start(older, PersistentState.initial(List.of("v1", "v2", "v3")));
         g.pass(200);
-        assertEquals(List.of(older), leads.regressed());
+        assertEquals(List.of(older), leads.regressedVoters());
         g.cut.add(g.other(leader, older));
         long before = g.decided.get(leader).size();
         leads.propose(g.now, new byte[] {2});
         g.told.clear();
-        long round = leads.confirm(g.now.plusMillis(10));
+        long round = leads.confirmLeadership(g.now.plusMillis(10));
         g.pass(290);
         assertEquals(before, g.decided.get(leader).size());
         assertFalse(g.told.contains(leader + " confirmed " + round), g.told::toString);
@@ -430,25 +430,25 @@
     @Test
     void anEndThatDiffersIsNoOlderCopy() {
         Group g = new Group(3, false, 1); // one entry a message
-        Snapshot beginning = Snapshot.beginning(List.of("v1", "v2", "v3"));
+        Snapshot beginning = Snapshot.initial(List.of("v1", "v2", "v3"));
         List<Entry> both = List.of(Entry.command(1, 1, new byte[1]), Entry.command(2, 1, new byte[1]));
         List<Entry> longer = new ArrayList<>(both);
         for (int i = 3; i <= 6; i++) {
             longer.add(Entry.command(i, 1, new byte[1]));
         }
         List<Entry> later = new ArrayList<>(both);
-        later.add(Entry.opening(3, 2));
-        g.start("v1", new Saved(2, null, beginning, later));
-        g.start("v2", new Saved(2, null, beginning, longer));
+        later.add(Entry.noOp(3, 2));
+        g.start("v1", new PersistentState(2, null, beginning, later));
+        g.start("v2", new PersistentState(2, null, beginning, longer));
         g.cut.add("v3");
-        Agreement v1 = g.voters.get("v1");
+        RaftNode v1 = g.voters.get("v1");
         int[] toLose = {1};
         for (int i = 0; i < 400; i++) { // the first message with the entry at which the logs differ is lost
             g.now = g.now.plusMillis(5);
             v1.onTime(g.now);
-            g.settle(m -> !(m instanceof Message.Append a && !a.entries().isEmpty() && a.entries().get(0).index() == 3
+            g.settle(m -> !(m instanceof Message.AppendRequest a && !a.entries().isEmpty() && a.entries().get(0).index() == 3
                     && toLose[0]-- > 0));
-            assertEquals(List.of(), v1.regressed(), "after " + 5 * i + " ms");
+            assertEquals(List.of(), v1.regressedVoters(), "after " + 5 * i + " ms");
         }
         assertEquals(v1.commitIndex(), v1.lastIndex());
     }
--- a/src/test/java/rowanplank/fleet/wire/DiskFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/DiskFormTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rowanplank.agreement.Entry;
-import rowanplank.agreement.Saved;
+import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 import rowanplank.fleet.wire.Unpacker.MalformedException;
@@ -24,7 +24,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(w.bytes());
         for (Write write : List.of(new Write.Vote(3, "n2"),
-                new Write.Entries(List.of(Entry.opening(1, 3), Entry.command(2, 3, new byte[] {1}))),
+                new Write.Entries(List.of(Entry.noOp(1, 3), Entry.command(2, 3, new byte[] {1}))),
                 new Write.Entries(List.of(Entry.command(2, 4, new byte[] {9, 9}))))) {
             lastRecord = out.size();
             w = DiskForm.write(w.chain(), write);
@@ -67,7 +67,7 @@
     @Test
     void aSnapshotThatIsCutIsRefused() throws Exception {
         Snapshot snapshot = new Snapshot(900, 7, VOTERS, new byte[3000]);
-        byte[] whole = DiskForm.anew("press", "n1", new Write.Whole(new Saved(8, "n2", snapshot,
+        byte[] whole = DiskForm.anew("press", "n1", new Write.FullState(new PersistentState(8, "n2", snapshot,
                 List.of(Entry.command(901, 8, new byte[500]))))).bytes();
         assertEquals(900, DiskForm.read(whole, "press", "n1").saved().snapshot().index());
         for (int length = 0; length < whole.length; length += 10) {
--- a/src/test/java/rowanplank/fleet/wire/EnvelopeFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/EnvelopeFormTest.java
@@ -26,12 +26,12 @@
             new News("n5", "10.0.0.5:7946", 1, News.State.ALIVE, false, ""));
 
     static List<Envelope> envelopes() {
-        return List.of(of(new Message.VoteAsk(9, true, false, 1L << 40, 8)), of(new Message.VoteReply(9, false, true)),
-                of(new Message.Append(9, 5, 8, 4, 77, List.of(Entry.command(6, 9, new byte[] {1, 2, 3}),
-                        Entry.voters(7, 9, List.of("a", "b"))))),
-                of(new Message.AppendReply(9, 77, false, 3)),
-                of(new Message.Piece(9, 1, 100, 8, List.of("a"), 5, 2, new byte[] {4, 5, 6})),
-                of(new Message.PieceReply(9, 1, 100, 5)), of(new Message.TakeOver(9)),
+        return List.of(of(new Message.VoteRequest(9, true, false, 1L << 40, 8)), of(new Message.VoteResponse(9, false, true)),
+                of(new Message.AppendRequest(9, 5, 8, 4, 77, List.of(Entry.command(6, 9, new byte[] {1, 2, 3}),
+                        Entry.voterChange(7, 9, List.of("a", "b"))))),
+                of(new Message.AppendResponse(9, 77, false, 3)),
+                of(new Message.SnapshotChunk(9, 1, 100, 8, List.of("a"), 5, 2, new byte[] {4, 5, 6})),
+                of(new Message.SnapshotChunkResponse(9, 1, 100, 5)), of(new Message.TimeoutNow(9)),
                 of(new Ask.Open()), of(new Ask.Renew()), of(new Ask.Acquire("backup", Duration.ofSeconds(4))),
                 of(new Ask.Release("backup", 12)), of(new Ask.Read("backup")),
                 of(new Ask.Claim("backup", 12, "nightly", Duration.ofDays(1), 20_000)),
--- a/src/test/java/rowanplank/fleet/wire/LedgerFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/LedgerFormTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rowanplank.agreement.Agreement;
+import rowanplank.agreement.RaftNode;
 import rowanplank.fleet.wire.Unpacker.MalformedException;
 import rowanplank.ledger.Budgets;
 import rowanplank.ledger.Command;
@@ -94,7 +94,7 @@
         }
         assertEquals(Ledger.MOST_LEASES, ledger.leases().size());
         int bytes = LedgerForm.picture(ledger.picture()).length;
-        assertTrue(bytes < Agreement.MOST_SNAPSHOT_BYTES, bytes + " bytes");
+        assertTrue(bytes < RaftNode.MAX_SNAPSHOT_BYTES, bytes + " bytes");
     }
 
     /** The order of work came with version 4, its windows, halts and forget with 5: each reads what it knows, and refuses the rest. */
