--- a/src/main/java/routerfleet/data/AdmittedRequest.java
+++ b/src/main/java/routerfleet/data/AdmittedRequest.java
@@ -48,7 +48,7 @@
         if (keyed && tenant == null) {
             return Either.left(ErrorResponse.withoutRetry(401, "no such key"));
         }
-        return Either.right(new AdmittedRequest(id, found.config(), key, tenant, found.backend(plane.lot()),
+        return Either.right(new AdmittedRequest(id, found.config(), key, tenant, found.backend(plane.nextRandom()),
                 PromptPrefix.parse(headers.get(ProxyHeaders.PROMPT_PREFIX)),
                 receivedMs + allowedMs(headers.get(ProxyHeaders.DEADLINE), found.config().timeoutMs())));
     }
--- a/src/main/java/routerfleet/data/ClientConnection.java
+++ b/src/main/java/routerfleet/data/ClientConnection.java
@@ -37,32 +37,32 @@
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientResponseWriter {
     /** How long after an answer that ends the connection unread bytes may still come before it is closed. */
-    private static final long LINGER_MS = 200;
+    private static final long LINGER_TIMEOUT_MS = 200;
 
     /** What clients may send before its turn, in bytes. */
-    private static final int MOST_WAITING_BYTES = 64 << 10;
+    private static final int MAX_PENDING_BYTES = 64 << 10;
     /** What a message takes beside its content, about. */
-    private static final int WAITING_OVERHEAD = 512;
+    private static final int PENDING_MESSAGE_OVERHEAD_BYTES = 512;
 
     private final DataPlane plane;
-    private final Set<ClientConnection> all;
-    private final Deque<Object> waiting = new ArrayDeque<>();
-    private int waitingBytes;
+    private final Set<ClientConnection> openConnections;
+    private final Deque<Object> pendingMessages = new ArrayDeque<>();
+    private int pendingBytes;
     private ChannelHandlerContext context;
     private HttpRequest request;
     private ByteArrayOutputStream body;
     private Exchange exchange;
     private boolean keepAlive;
-    private boolean headOnly;
+    private boolean headRequest;
     private boolean closing;
-    private long startedMs;
-    private long activeMs = SteadyClock.millis();
+    private long requestStartedMs;
+    private long lastActiveMs = SteadyClock.millis();
     private boolean readingRequest;
 
-    /** @param all the open connections of the node, which this one enters and leaves */
-    ClientConnection(DataPlane plane, Set<ClientConnection> all) {
+    /** @param openConnections the open connections of the node, which this one enters and leaves */
+    ClientConnection(DataPlane plane, Set<ClientConnection> openConnections) {
         this.plane = plane;
-        this.all = all;
+        this.openConnections = openConnections;
     }
 
     @Override
@@ -72,15 +72,15 @@
 
     @Override
     public void channelActive(ChannelHandlerContext active) {
-        all.add(this);
+        openConnections.add(this);
     }
 
     /** Bytes have come; called before they are parsed. */
     void bytesRead() {
-        activeMs = SteadyClock.millis();
+        lastActiveMs = SteadyClock.millis();
         if (!readingRequest && exchange == null) {
             readingRequest = true;
-            startedMs = activeMs;
+            requestStartedMs = lastActiveMs;
         }
     }
 
@@ -89,9 +89,9 @@
         if (closing) {
             ReferenceCountUtil.release(message);
         } else if (exchange != null) {
-            queue(message);
+            enqueue(message);
         } else {
-            take(message);
+            handle(message);
         }
     }
 
@@ -99,30 +99,30 @@
      * Keeps what has come before its turn. Reading goes on up to a bound, since a connection that is not read does not show
      * that its client has gone.
      */
-    private void queue(Object message) {
-        waiting.add(message);
-        waitingBytes += WAITING_OVERHEAD + (message instanceof HttpContent content ? content.content().readableBytes() : 0);
-        if (waitingBytes > MOST_WAITING_BYTES) {
+    private void enqueue(Object message) {
+        pendingMessages.add(message);
+        pendingBytes += PENDING_MESSAGE_OVERHEAD_BYTES + (message instanceof HttpContent content ? content.content().readableBytes() : 0);
+        if (pendingBytes > MAX_PENDING_BYTES) {
             context.channel().config().setAutoRead(false);
         }
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         try {
             if (message instanceof HttpRequest head) {
-                begin(head);
+                startRequest(head);
             }
             if (message instanceof HttpContent content && request != null) {
-                addBody(content);
+                appendBody(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void begin(HttpRequest head) {
+    private void startRequest(HttpRequest head) {
         if (head.decoderResult().isFailure()) {
-            malformed(head.decoderResult().cause());
+            rejectMalformed(head.decoderResult().cause());
             return;
         }
         if (HttpUtil.isContentLengthSet(head)
@@ -137,7 +137,7 @@
         }
     }
 
-    private void malformed(Throwable cause) {
+    private void rejectMalformed(Throwable cause) {
         if (cause instanceof TooLongHttpHeaderException) {
             reject(431, "the headers are too long");
         } else if (cause instanceof TooLongHttpLineException) {
@@ -147,37 +147,37 @@
         }
     }
 
-    private void addBody(HttpContent content) {
+    private void appendBody(HttpContent content) {
         if (content.decoderResult().isFailure()) {
             reject(400, "malformed body");
             return;
         }
-        ByteBuf piece = content.content();
-        if (body.size() + piece.readableBytes() > plane.table().limits().maxBodyBytes()) {
+        ByteBuf chunk = content.content();
+        if (body.size() + chunk.readableBytes() > plane.table().limits().maxBodyBytes()) {
             reject(413, "the body is too long");
             return;
         }
-        byte[] bytes = new byte[piece.readableBytes()];
-        piece.readBytes(bytes);
+        byte[] bytes = new byte[chunk.readableBytes()];
+        chunk.readBytes(bytes);
         body.writeBytes(bytes);
         if (content instanceof LastHttpContent) {
-            HttpRequest whole = request;
+            HttpRequest complete = request;
             request = null;
             readingRequest = false;
-            keepAlive = HttpUtil.isKeepAlive(whole);
-            headOnly = whole.method().equals(HttpMethod.HEAD);
-            exchange = new Exchange(plane, this, whole, body.toByteArray(), startedMs);
+            keepAlive = HttpUtil.isKeepAlive(complete);
+            headRequest = complete.method().equals(HttpMethod.HEAD);
+            exchange = new Exchange(plane, this, complete, body.toByteArray(), requestStartedMs);
             body = null;
             exchange.start();
         }
     }
 
     /** Answers what can't be understood, and ends the connection. */
-    private void reject(int status, String text) {
+    private void reject(int status, String message) {
         request = null;
         keepAlive = false;
-        headOnly = false;
-        respond(status, ProxyHeaders.withoutValidation(), (text + "\n").getBytes(StandardCharsets.US_ASCII));
+        headRequest = false;
+        respond(status, ProxyHeaders.withoutValidation(), (message + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
     // ---- the answer
@@ -185,21 +185,21 @@
     @Override
     public void respond(int status, HttpHeaders headers, byte[] bytes) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                headOnly ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(bytes),
+                headRequest ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(bytes),
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false),
                 DefaultHttpHeadersFactory.trailersFactory());
         response.headers().set(headers);
-        if (!headOnly) {
+        if (!headRequest) {
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
         }
-        boolean close = closesAfter();
+        boolean close = closesAfterResponse();
         HttpUtil.setKeepAlive(response, !close);
         write(response, close);
-        answered();
+        responseFinished();
     }
 
-    private boolean closesAfter() {
-        return !keepAlive || plane.isLeaving();
+    private boolean closesAfterResponse() {
+        return !keepAlive || plane.isDraining();
     }
 
     private void write(Object message, boolean close) {
@@ -207,25 +207,25 @@
             if (!written.isSuccess()) {
                 context.close();
             } else if (close) {
-                closeGently();
+                closeAfterLinger();
             }
         });
         closing |= close;
     }
 
     /** Ends the output, and the connection once the client has had time to read it. */
-    private void closeGently() {
+    private void closeAfterLinger() {
         Channel channel = context.channel();
         if (channel instanceof io.netty.channel.socket.DuplexChannel duplex && !duplex.isOutputShutdown()) {
             duplex.shutdownOutput();
         }
         channel.config().setAutoRead(true);
-        context.executor().schedule(() -> channel.close(), LINGER_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
+        context.executor().schedule(() -> channel.close(), LINGER_TIMEOUT_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void startStream(HttpResponse head) {
-        HttpUtil.setKeepAlive(head, !closesAfter());
+        HttpUtil.setKeepAlive(head, !closesAfterResponse());
         context.write(head, context.voidPromise());
     }
 
@@ -236,8 +236,8 @@
 
     @Override
     public void endStream() {
-        write(LastHttpContent.EMPTY_LAST_CONTENT, closesAfter());
-        answered();
+        write(LastHttpContent.EMPTY_LAST_CONTENT, closesAfterResponse());
+        responseFinished();
     }
 
     @Override
@@ -252,18 +252,18 @@
         return context.channel().isWritable();
     }
 
-    private void answered() {
+    private void responseFinished() {
         exchange = null;
-        activeMs = SteadyClock.millis();
-        while (exchange == null && !closing && !waiting.isEmpty()) {
+        lastActiveMs = SteadyClock.millis();
+        while (exchange == null && !closing && !pendingMessages.isEmpty()) {
             if (!readingRequest) {
                 readingRequest = true;
-                startedMs = activeMs;
+                requestStartedMs = lastActiveMs;
             }
-            take(waiting.poll());
+            handle(pendingMessages.poll());
         }
-        if (waiting.isEmpty()) {
-            waitingBytes = 0;
+        if (pendingMessages.isEmpty()) {
+            pendingBytes = 0;
         }
         if (exchange == null && !closing) {
             context.channel().config().setAutoRead(true);
@@ -273,15 +273,15 @@
     // ---- the connection
 
     /** Closes the connection where the client takes too long. */
-    void review(long nowMs) {
+    void checkTimeouts(long nowMs) {
         if (exchange != null || closing) {
             return;
         }
-        long idle = nowMs - activeMs;
-        if (readingRequest && request == null && nowMs - startedMs > plane.table().limits().headerTimeoutMs()
-                || readingRequest && idle > plane.table().limits().idleTimeoutMs()) {
+        long idleMs = nowMs - lastActiveMs;
+        if (readingRequest && request == null && nowMs - requestStartedMs > plane.table().limits().headerTimeoutMs()
+                || readingRequest && idleMs > plane.table().limits().idleTimeoutMs()) {
             reject(408, "the request took too long");
-        } else if (!readingRequest && idle > plane.table().limits().idleTimeoutMs()) {
+        } else if (!readingRequest && idleMs > plane.table().limits().idleTimeoutMs()) {
             context.close();
         }
     }
@@ -297,20 +297,20 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext changed) {
         if (exchange != null && changed.channel().isWritable()) {
-            exchange.writable();
+            exchange.onClientWritable();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext inactive) {
-        all.remove(this);
+        openConnections.remove(this);
         closing = true;
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+        pendingMessages.forEach(ReferenceCountUtil::release);
+        pendingMessages.clear();
         if (exchange != null) {
-            Exchange left = exchange;
+            Exchange abandoned = exchange;
             exchange = null;
-            left.clientGone();
+            abandoned.onClientDisconnected();
         }
     }
 
--- a/src/main/java/routerfleet/data/DataNode.java
+++ b/src/main/java/routerfleet/data/DataNode.java
@@ -44,20 +44,20 @@
  */
 public final class DataNode {
     private static final System.Logger LOG = Loggers.get("routerfleet.data");
-    private static final int MOST_LINE_BYTES = 8 << 10;
-    private static final int MOST_CHUNK_BYTES = 16 << 10;
+    private static final int MAX_LINE_BYTES = 8 << 10;
+    private static final int MAX_CHUNK_BYTES = 16 << 10;
     private static final int READINESS_BODY_BYTES = 1 << 12;
-    private static final long REVIEW_MS = 250;
-    private static final long SECOND_MS = 1_000;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 250;
+    private static final long MS_PER_SECOND = 1_000;
     /** How long the ingress may take to notice that a node is not ready: two questions, a second apart, and some. */
-    private static final long NOTICED_MS = 3_200;
+    private static final long READINESS_PROPAGATION_MS = 3_200;
     /** Before the platform kills the process, what has not run is refused. */
-    private static final long LAST_WORDS_MS = 900;
-    private static final long STOP_CHECK_MS = 50;
+    private static final long REFUSE_UNSENT_BEFORE_KILL_MS = 900;
+    private static final long STOP_CHECK_INTERVAL_MS = 50;
 
     /** Without a quiet period an event loop may end before it has closed its sockets. */
-    private static final long CRASH_QUIET_MS = 10;
-    private static final long CRASH_MOST_MS = 2_000;
+    private static final long CRASH_QUIET_PERIOD_MS = 10;
+    private static final long CRASH_TIMEOUT_MS = 2_000;
 
     private final LocalSettings settings;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -94,13 +94,13 @@
             @Override
             protected void initChannel(Channel channel) {
                 ClientConnection connection = new ClientConnection(plane, clients);
-                channel.pipeline().addLast(new ReadWatch(connection), new HttpServerCodec(MOST_LINE_BYTES,
-                        plane.table().limits().maxHeaderBytes(), MOST_CHUNK_BYTES), connection);
+                channel.pipeline().addLast(new ReadNotifier(connection), new HttpServerCodec(MAX_LINE_BYTES,
+                        plane.table().limits().maxHeaderBytes(), MAX_CHUNK_BYTES), connection);
             }
         });
         loop.execute(control::start);
-        loop.scheduleWithFixedDelay(this::review, REVIEW_MS, REVIEW_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(registry::tick, SECOND_MS, SECOND_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::checkTimeouts, TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(registry::tick, MS_PER_SECOND, MS_PER_SECOND, TimeUnit.MILLISECONDS);
         LOG.log(System.Logger.Level.INFO, "data node " + settings.nodeName() + " listens at " + settings.frontend());
     }
 
@@ -109,18 +109,18 @@
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(READINESS_BODY_BYTES),
-                        new Readiness());
+                        new ReadinessHandler());
             }
         });
     }
 
-    private void review() {
+    private void checkTimeouts() {
         long now = SteadyClock.millis();
         if (plane.isReady()) {
             ready.complete(null);
         }
-        plane.open().forEach(exchange -> exchange.review(now));
-        List.copyOf(clients).forEach(client -> client.review(now));
+        plane.openExchanges().forEach(exchange -> exchange.checkServerSilence(now));
+        List.copyOf(clients).forEach(client -> client.checkTimeouts(now));
     }
 
     /** Takes new settings: only the seeds may change while the process runs. */
@@ -137,11 +137,11 @@
             return;
         }
         long startMs = SteadyClock.millis();
-        long graceMs = (long) (settings.bounds().graceS() * SECOND_MS);
+        long graceMs = (long) (settings.bounds().graceS() * MS_PER_SECOND);
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
-            plane.leave();
-            loop.scheduleWithFixedDelay(() -> leave(startMs, graceMs, done), STOP_CHECK_MS, STOP_CHECK_MS,
+            plane.startDraining();
+            loop.scheduleWithFixedDelay(() -> continueDrain(startMs, graceMs, done), STOP_CHECK_INTERVAL_MS, STOP_CHECK_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
         });
         try {
@@ -153,7 +153,7 @@
 
     /** Ends at once. */
     public void crash() {
-        group.shutdownGracefully(CRASH_QUIET_MS, CRASH_MOST_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        group.shutdownGracefully(CRASH_QUIET_PERIOD_MS, CRASH_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
     /** Complete once the node has been ready for the first time. */
@@ -161,15 +161,15 @@
         return ready;
     }
 
-    private void leave(long startMs, long graceMs, CountDownLatch done) {
-        long passed = SteadyClock.millis() - startMs;
-        if (passed < Math.min(NOTICED_MS, graceMs / 2)) {
+    private void continueDrain(long startMs, long graceMs, CountDownLatch done) {
+        long elapsedMs = SteadyClock.millis() - startMs;
+        if (elapsedMs < Math.min(READINESS_PROPAGATION_MS, graceMs / 2)) {
             return;
         }
         frontend.close();
         List.copyOf(clients).forEach(ClientConnection::closeIfIdle);
-        if (passed > graceMs - LAST_WORDS_MS) {
-            plane.open().forEach(Exchange::shutDown);
+        if (elapsedMs > graceMs - REFUSE_UNSENT_BEFORE_KILL_MS) {
+            plane.openExchanges().forEach(Exchange::refuseIfUnsent);
         }
         if (clients.isEmpty()) {
             done.countDown();
@@ -177,10 +177,10 @@
     }
 
     /** Tells a connection that bytes have come, before they are parsed. */
-    private static final class ReadWatch extends ChannelInboundHandlerAdapter {
+    private static final class ReadNotifier extends ChannelInboundHandlerAdapter {
         private final ClientConnection connection;
 
-        ReadWatch(ClientConnection connection) {
+        ReadNotifier(ClientConnection connection) {
             this.connection = connection;
         }
 
@@ -194,7 +194,7 @@
     }
 
     /** Answers whether the node wants clients. */
-    private final class Readiness extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ReadinessHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
--- a/src/main/java/routerfleet/data/DataPlane.java
+++ b/src/main/java/routerfleet/data/DataPlane.java
@@ -14,9 +14,9 @@
 final class DataPlane {
     /** What a request may still need to be read and checked, off the time until removed keys are refused. */
     private static final long REVOKE_MARGIN_MS = 400;
-    private static final int LEAST_IN_FLIGHT = 4;
-    private static final double SHARE_FACTOR = 2;
-    private static final double CONNECTIONS_PART = 0.9;
+    private static final int MIN_IN_FLIGHT = 4;
+    private static final double CAPACITY_SHARE_FACTOR = 2;
+    private static final double CONNECTION_LIMIT_FRACTION = 0.9;
 
     private final EventLoop loop;
     private final Bounds bounds;
@@ -24,13 +24,13 @@
     private final QuotaClient quotas;
     private final FleetSize fleetSize;
     private final SplittableRandom random;
-    private final Map<String, RetryBudget> budgets = new HashMap<>();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
     /** How fast all nodes together may send to a cold server of a service that tells a bound, in requests a second. */
     private final Map<String, Double> coldRates = new HashMap<>();
-    private final Set<Exchange> open = new LinkedHashSet<>();
+    private final Set<Exchange> openExchanges = new LinkedHashSet<>();
     private RoutingTable table = RoutingTable.EMPTY;
     private ControlClient control;
-    private boolean leaving;
+    private boolean draining;
 
     DataPlane(EventLoop loop, Bounds bounds, ServerRegistry registry, QuotaClient quotas, FleetSize fleetSize,
             long seed) {
@@ -65,13 +65,13 @@
     void table(RoutingTable newer) {
         table = newer;
         quotas.configure(newer.tenants());
-        budgets.keySet().removeIf(backend -> newer.backend(backend) == null);
+        retryBudgets.keySet().removeIf(backend -> newer.backend(backend) == null);
         registry.retainClasses(newer.routeNames());
         coldRates.clear();
         for (BackendConfig backend : newer.backends()) {
             if (backend.warmupPerS() > 0) {
-                double most = backend.warmupPerS() * bounds.warmupOvershoot() + bounds.warmupSlack();
-                coldRates.put(backend.name(), WarmupRate.of(most));
+                double maxPerSecond = backend.warmupPerS() * bounds.warmupOvershoot() + bounds.warmupSlack();
+                coldRates.put(backend.name(), WarmupRate.of(maxPerSecond));
             }
         }
     }
@@ -80,16 +80,16 @@
         return fleetSize;
     }
 
-    double lot() {
+    double nextRandom() {
         return random.nextDouble();
     }
 
-    RetryBudget budget(String backend) {
-        return budgets.computeIfAbsent(backend, b -> new RetryBudget(bounds));
+    RetryBudget retryBudget(String backend) {
+        return retryBudgets.computeIfAbsent(backend, b -> new RetryBudget(bounds));
     }
 
     /** The chance of a permission for a cold server of that service in one slice of time ({@link ColdAdmission}). */
-    double coldChance(String backend) {
+    double coldPermitProbability(String backend) {
         Double rate = coldRates.get(backend);
         return rate == null ? ColdAdmission.NO_BOUND : WarmupRate.chance(rate, fleetSize.divisor());
     }
@@ -109,16 +109,16 @@
 
     /** Whether the node can serve. */
     boolean isReady() {
-        return !leaving && hasConfiguration() && keysAreFresh();
+        return !draining && hasConfiguration() && keysAreFresh();
     }
 
     /** Takes no new clients from now on. */
-    void leave() {
-        leaving = true;
+    void startDraining() {
+        draining = true;
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
     /** How many requests this node may have in flight at one server. */
@@ -126,20 +126,20 @@
         int nodes = fleetSize.latest();
         BackendConfig config = table.backend(backend);
         int connections = config == null || config.maxConnections() == 0 ? Integer.MAX_VALUE : config.maxConnections();
-        int part = Math.max(LEAST_IN_FLIGHT, (int) Math.ceil(SHARE_FACTOR * capacity / nodes));
-        return Math.max(1, Math.min(part, (int) (CONNECTIONS_PART * connections / nodes)));
+        int share = Math.max(MIN_IN_FLIGHT, (int) Math.ceil(CAPACITY_SHARE_FACTOR * capacity / nodes));
+        return Math.max(1, Math.min(share, (int) (CONNECTION_LIMIT_FRACTION * connections / nodes)));
     }
 
-    void opened(Exchange exchange) {
-        open.add(exchange);
+    void addExchange(Exchange exchange) {
+        openExchanges.add(exchange);
     }
 
-    void closed(Exchange exchange) {
-        open.remove(exchange);
+    void removeExchange(Exchange exchange) {
+        openExchanges.remove(exchange);
     }
 
     /** Requests without a final answer. */
-    List<Exchange> open() {
-        return List.copyOf(open);
+    List<Exchange> openExchanges() {
+        return List.copyOf(openExchanges);
     }
 }
--- a/src/main/java/routerfleet/data/Exchange.java
+++ b/src/main/java/routerfleet/data/Exchange.java
@@ -20,81 +20,81 @@
  * may have run is answered 429 or 503 only where it may run again; one that has not is told when to come back.
  */
 final class Exchange {
-    private static final int MOST_BODY_BYTES = 16 << 20;
-    private static final int MOST_CONNECT_FAILURES = 4;
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
+    private static final int MAX_CONNECT_FAILURES = 4;
     /** A request with less time left is not sent any more. */
-    private static final long LEAST_LEFT_MS = 12;
+    private static final long MIN_REMAINING_MS = 12;
     /** A failure counts as an answer after so many objectives. */
-    private static final double FAILURE_AIMS = 3;
+    private static final double FAILURE_LATENCY_FACTOR = 3;
     /**
      * A server that is silent for so long while it owes answers to two requests is taken for dead, where the request may
      * run again. Silence to a single request is most often the reading of a long prompt: to send it on would only have
      * another server read it as well.
      */
-    private static final long SILENT_MS = 900;
+    private static final long SILENCE_TIMEOUT_MS = 900;
     /** What a single request waits in silence: a part of the route's timeout that leaves time for another server. */
-    private static final double SILENT_PART = 1.0 / 3;
+    private static final double SILENCE_TIMEOUT_FRACTION = 1.0 / 3;
 
     private final DataPlane plane;
-    private final ClientResponseWriter reply;
+    private final ClientResponseWriter responseWriter;
     private final HttpRequest request;
     private final byte[] body;
     private final long receivedMs;
-    private final List<Server> tried = new ArrayList<>(2);
+    private final List<Server> triedServers = new ArrayList<>(2);
     private final StreamRelay relay;
     private AdmittedRequest admitted;
     private ScheduledFuture<?> timer;
     private Attempt attempt;
-    private int sends;
+    private int sentCount;
     private int connectFailures;
-    private boolean mayHaveRun;
+    private boolean mayHaveExecuted;
     private boolean done;
 
     /** @param receivedMs when the request's first byte was read, on the steady clock */
-    Exchange(DataPlane plane, ClientResponseWriter reply, HttpRequest request, byte[] body, long receivedMs) {
+    Exchange(DataPlane plane, ClientResponseWriter responseWriter, HttpRequest request, byte[] body, long receivedMs) {
         this.plane = plane;
-        this.reply = reply;
+        this.responseWriter = responseWriter;
         this.request = request;
         this.body = body;
         this.receivedMs = receivedMs;
-        relay = new StreamRelay(reply);
+        relay = new StreamRelay(responseWriter);
     }
 
     // ---- admission
 
     void start() {
-        plane.opened(this);
-        Either<ErrorResponse, AdmittedRequest> read = AdmittedRequest.admit(plane, request, receivedMs);
-        if (read.isLeft()) {
-            answer(read.getLeft());
+        plane.addExchange(this);
+        Either<ErrorResponse, AdmittedRequest> admission = AdmittedRequest.admit(plane, request, receivedMs);
+        if (admission.isLeft()) {
+            respond(admission.getLeft());
             return;
         }
-        admitted = read.get();
-        plane.budget(admitted.backend()).earned(plane.fleetSize().divisor());
-        timer = plane.loop().schedule(this::timeIsUp, Math.max(1, leftMs()), TimeUnit.MILLISECONDS);
+        admitted = admission.get();
+        plane.retryBudget(admitted.backend()).earned(plane.fleetSize().divisor());
+        timer = plane.loop().schedule(this::onDeadline, Math.max(1, remainingMs()), TimeUnit.MILLISECONDS);
         if (admitted.tenant() == null) {
             send();
         } else {
             double cost = QuotaClient.cost(admitted.tenant(), request.headers().get(ProxyHeaders.TOKEN_USAGE));
-            plane.quotas().admit(admitted.tenant(), cost, this::quotaDecided);
+            plane.quotas().admit(admitted.tenant(), cost, this::onQuotaDecision);
         }
     }
 
-    private long leftMs() {
+    private long remainingMs() {
         return admitted.deadlineMs() - SteadyClock.millis();
     }
 
     /** @return whether the request is still there */
-    private boolean quotaDecided(QuotaClient.Admission admission) {
+    private boolean onQuotaDecision(QuotaClient.Admission admission) {
         if (done) {
             return false;
         }
         if (admission.outcome() == QuotaClient.Outcome.ADMITTED) {
             send();
         } else if (admission.outcome() == QuotaClient.Outcome.DENIED) {
-            answer(ErrorResponse.rateLimited(admission.waitMs(), admitted.targetLatencyMs()));
+            respond(ErrorResponse.rateLimited(admission.waitMs(), admitted.targetLatencyMs()));
         } else {
-            answer(ErrorResponse.noCapacity(admitted.targetLatencyMs()));
+            respond(ErrorResponse.noCapacity(admitted.targetLatencyMs()));
         }
         return true;
     }
@@ -103,25 +103,25 @@
 
     private void send() {
         long now = SteadyClock.millis();
-        if (admitted.deadlineMs() - now < LEAST_LEFT_MS) {
+        if (admitted.deadlineMs() - now < MIN_REMAINING_MS) {
             giveUp();
             return;
         }
         ServerPool pool = pool();
         int capacity = pool.size() == 0 ? 0 : pool.servers().get(0).capacity();
         int limit = plane.inFlightLimit(admitted.backend(), capacity);
-        pool.coldAdmission().chance(plane.coldChance(admitted.backend()));
-        Server server = pool.choose(admitted.promptProfile(), limit, tried, now);
+        pool.coldAdmission().chance(plane.coldPermitProbability(admitted.backend()));
+        Server server = pool.choose(admitted.promptProfile(), limit, triedServers, now);
         if (server == null) {
             giveUp();
             return;
         }
-        tried.add(server);
+        triedServers.add(server);
         attempt = new Attempt(server, pool.coldAdmission().claim(server, now));
         server.sent(now);
         Server.Idle idle = server.takeIdle(now, pool.restLimit().maxIdleMs(now));
         if (idle != null) {
-            attempt.restedMs = now - idle.sinceMs();
+            attempt.connectionIdleMs = now - idle.sinceMs();
             attempt.sendOn(idle.connection());
         } else {
             connect(attempt);
@@ -129,31 +129,31 @@
     }
 
     private void connect(Attempt connecting) {
-        long sinceMs = SteadyClock.millis();
+        long connectStartMs = SteadyClock.millis();
         ChannelFuture future = UpstreamConnection.open(plane.loop(), connecting.server);
         Channel channel = future.channel();
         future.addListener(connected -> {
             if (connected.isSuccess()) {
                 connecting.server.connected(SteadyClock.millis());
             } else if (connected.cause() instanceof ConnectTimeoutException) {
-                connecting.server.connectTimedOut(sinceMs, SteadyClock.millis());
+                connecting.server.connectTimedOut(connectStartMs, SteadyClock.millis());
             }
             if (connecting != attempt || done) {
                 channel.close();
             } else if (connected.isSuccess()) {
                 connecting.sendOn(UpstreamConnection.of(channel));
             } else {
-                connectFailed(connecting);
+                onConnectFailed(connecting);
             }
         });
     }
 
-    private void connectFailed(Attempt failed) {
+    private void onConnectFailed(Attempt failed) {
         long now = SteadyClock.millis();
         failed.end();
         failed.server.failed(now);
-        learn(failed, penaltyMs(), false);
-        if (++connectFailures < MOST_CONNECT_FAILURES) {
+        recordOutcome(failed, failureLatencyMs(), false);
+        if (++connectFailures < MAX_CONNECT_FAILURES) {
             send();
         } else {
             giveUp();
@@ -166,22 +166,22 @@
     private final class Attempt implements UpstreamConnection.ResponseReceiver {
         private final Server server;
         /** The permission that it took where its server was cold. */
-        private final long claimed;
+        private final long coldPermitSlice;
         private UpstreamConnection connection;
         /** For how long its connection had rested; 0 where it is new. */
-        private long restedMs;
+        private long connectionIdleMs;
         private long sentMs;
         private HttpResponse head;
         private boolean notExecuted;
-        private boolean streams;
+        private boolean streaming;
         private EventStreamParser parser;
-        private ByteArrayOutputStream whole;
-        private double firstMs;
+        private ByteArrayOutputStream responseBody;
+        private double firstEventMs;
         private boolean ended;
 
-        Attempt(Server server, long claimed) {
+        Attempt(Server server, long coldPermitSlice) {
             this.server = server;
-            this.claimed = claimed;
+            this.coldPermitSlice = coldPermitSlice;
         }
 
         void sendOn(UpstreamConnection on) {
@@ -198,16 +198,16 @@
                 return;
             }
             sentMs = SteadyClock.millis();
-            pool().coldAdmission().chance(plane.coldChance(admitted.backend()));
-            if (!pool().coldAdmission().holds(server, claimed, sentMs)) {
+            pool().coldAdmission().chance(plane.coldPermitProbability(admitted.backend()));
+            if (!pool().coldAdmission().holds(server, coldPermitSlice, sentMs)) {
                 on.release(sentMs);
                 end();
                 Exchange.this.send();
                 return;
             }
             connection = on;
-            sends++;
-            on.send(UpstreamRequest.build(request, body, admitted, server, relay.lastEventId(), leftMs()), admitted.id(),
+            sentCount++;
+            on.send(UpstreamRequest.build(request, body, admitted, server, relay.lastEventId(), remainingMs()), admitted.id(),
                     this);
         }
 
@@ -230,7 +230,7 @@
         }
 
         private double latencyMs() {
-            return firstMs > 0 ? firstMs : Math.max(1, SteadyClock.millis() - sentMs);
+            return firstEventMs > 0 ? firstEventMs : Math.max(1, SteadyClock.millis() - sentMs);
         }
 
         @Override
@@ -243,44 +243,44 @@
             notExecuted = response.headers().contains(ProxyHeaders.NOT_EXECUTED) || response.status().code() == 421;
             boolean success = response.status().code() / 100 == 2;
             if (success && !response.headers().contains(ProxyHeaders.SIGNATURE)) {
-                breakOff("a success without a signature");
+                closeAndFail("a success without a signature");
                 return;
             }
-            streams = success && admitted.route().streaming() && UpstreamConnection.isEventStream(response);
-            if (streams) {
+            streaming = success && admitted.route().streaming() && UpstreamConnection.isEventStream(response);
+            if (streaming) {
                 parser = new EventStreamParser();
             } else {
-                whole = new ByteArrayOutputStream();
+                responseBody = new ByteArrayOutputStream();
             }
         }
 
         @Override
-        public void content(ByteBuf piece) {
-            if (streams) {
-                if (!parser.feed(piece, this::event)) {
-                    breakOff("an event is too long");
+        public void content(ByteBuf chunk) {
+            if (streaming) {
+                if (!parser.feed(chunk, this::onEvent)) {
+                    closeAndFail("an event is too long");
                 }
                 return;
             }
-            if (whole.size() + piece.readableBytes() > MOST_BODY_BYTES) {
-                breakOff("the answer is too long");
+            if (responseBody.size() + chunk.readableBytes() > MAX_RESPONSE_BYTES) {
+                closeAndFail("the answer is too long");
                 return;
             }
-            byte[] bytes = new byte[piece.readableBytes()];
-            piece.readBytes(bytes);
-            whole.writeBytes(bytes);
+            byte[] bytes = new byte[chunk.readableBytes()];
+            chunk.readBytes(bytes);
+            responseBody.writeBytes(bytes);
         }
 
-        private void event(byte[] bytes, long eventId) {
+        private void onEvent(byte[] bytes, long eventId) {
             if (ended) {
                 return;
             }
-            if (firstMs == 0) {
-                firstMs = Math.max(1, SteadyClock.millis() - sentMs);
+            if (firstEventMs == 0) {
+                firstEventMs = Math.max(1, SteadyClock.millis() - sentMs);
             }
-            if (!relay.forward(head, bytes, eventId, sends > 1)) {
-                breakOff("events are missing");
-            } else if (!reply.isWritable()) {
+            if (!relay.forward(head, bytes, eventId, sentCount > 1)) {
+                closeAndFail("events are missing");
+            } else if (!responseWriter.isWritable()) {
                 connection.channel().config().setAutoRead(false);
             }
         }
@@ -290,97 +290,97 @@
             if (ended) {
                 return;
             }
-            if (streams && parser.hasPartialEvent()) {
+            if (streaming && parser.hasPartialEvent()) {
                 failed("the stream ends inside an event");
                 return;
             }
             end();
             if (notExecuted) {
-                rejected();
-            } else if (streams) {
+                handleNotExecuted();
+            } else if (streaming) {
                 server.succeeded();
-                learn(this, latencyMs(), true);
+                recordOutcome(this, latencyMs(), true);
                 relay.writeHead(head);
                 finish();
-                reply.endStream();
+                responseWriter.endStream();
             } else if (relay.hasStarted()) {
                 server.erred(SteadyClock.millis());
-                cutOff();
+                abortResponse();
             } else {
-                answered();
+                forwardResponse();
             }
         }
 
-        private void rejected() {
+        private void handleNotExecuted() {
             if (head.status().code() == 421) {
                 plane.registry().end(server.uid());
             } else {
-                learn(this, penaltyMs(), false);
+                recordOutcome(this, failureLatencyMs(), false);
             }
-            if (sends < admitted.route().attempts() && plane.budget(admitted.backend()).take()) {
+            if (sentCount < admitted.route().attempts() && plane.retryBudget(admitted.backend()).take()) {
                 send();
             } else {
                 giveUp();
             }
         }
 
-        private void answered() {
+        private void forwardResponse() {
             boolean success = head.status().code() / 100 == 2;
             if (head.status().code() / 100 == 5) {
                 server.erred(SteadyClock.millis());
-                learn(this, penaltyMs(), false);
+                recordOutcome(this, failureLatencyMs(), false);
             } else {
                 server.succeeded();
-                learn(this, latencyMs(), success);
+                recordOutcome(this, latencyMs(), success);
             }
             HttpHeaders headers = ProxyHeaders.withoutValidation().set(head.headers());
             ProxyHeaders.removeHopByHop(headers);
-            mayHaveRun = true;
+            mayHaveExecuted = true;
             finish();
-            reply.respond(head.status().code(), headers, whole.toByteArray());
+            responseWriter.respond(head.status().code(), headers, responseBody.toByteArray());
         }
 
-        private void breakOff(String why) {
+        private void closeAndFail(String reason) {
             connection.abandon();
-            failed(why);
+            failed(reason);
         }
 
         @Override
-        public void failed(String why) {
+        public void failed(String reason) {
             if (ended) {
                 return;
             }
             end();
-            mayHaveRun = true;
+            mayHaveExecuted = true;
             long now = SteadyClock.millis();
             if (head == null) {
-                pool().restLimit().connectionLost(restedMs, now);
+                pool().restLimit().connectionLost(connectionIdleMs, now);
             }
             server.erred(now);
-            learn(this, penaltyMs(), false);
-            sendAgainOrFail();
+            recordOutcome(this, failureLatencyMs(), false);
+            retryOrFail();
         }
     }
 
-    private void sendAgainOrFail() {
-        boolean again = admitted.route().idempotent() && sends < admitted.route().attempts()
-                && leftMs() > LEAST_LEFT_MS && plane.budget(admitted.backend()).take();
-        if (again) {
+    private void retryOrFail() {
+        boolean retry = admitted.route().idempotent() && sentCount < admitted.route().attempts()
+                && remainingMs() > MIN_REMAINING_MS && plane.retryBudget(admitted.backend()).take();
+        if (retry) {
             send();
         } else {
             giveUp();
         }
     }
 
-    private double penaltyMs() {
-        return FAILURE_AIMS * admitted.targetLatencyMs();
+    private double failureLatencyMs() {
+        return FAILURE_LATENCY_FACTOR * admitted.targetLatencyMs();
     }
 
     private ServerPool pool() {
         return plane.registry().pool(admitted.backend());
     }
 
-    private void learn(Attempt of, double latencyMs, boolean success) {
+    private void recordOutcome(Attempt of, double latencyMs, boolean success) {
         pool().learn(admitted.promptProfile(), of.server, latencyMs, success);
     }
 
@@ -389,55 +389,55 @@
     /** No server has answered, and none will be asked any more. */
     private void giveUp() {
         if (relay.hasStarted()) {
-            cutOff();
-        } else if (mayHaveRun) {
-            answer(ErrorResponse.withoutRetry(502, "the server gave no whole answer"));
+            abortResponse();
+        } else if (mayHaveExecuted) {
+            respond(ErrorResponse.withoutRetry(502, "the server gave no whole answer"));
         } else {
-            answer(refusal());
+            respond(unsentError());
         }
     }
 
-    private ErrorResponse refusal() {
+    private ErrorResponse unsentError() {
         return admitted.isKeyStillValid(plane) ? ErrorResponse.noCapacity(admitted.targetLatencyMs()) : ErrorResponse.notReady();
     }
 
-    private void cutOff() {
+    private void abortResponse() {
         finish();
-        reply.abort();
+        responseWriter.abort();
     }
 
-    private void timeIsUp() {
+    private void onDeadline() {
         if (done) {
             return;
         }
         if (attempt != null && attempt.connection != null) {
-            mayHaveRun = true;
+            mayHaveExecuted = true;
             if (attempt.head == null && isSilent(attempt.server, SteadyClock.millis())) {
                 attempt.server.failed(SteadyClock.millis());
             }
-            learn(attempt, penaltyMs(), false);
+            recordOutcome(attempt, failureLatencyMs(), false);
         }
         if (relay.hasStarted()) {
-            cutOff();
-        } else if (mayHaveRun) {
-            answer(ErrorResponse.withoutRetry(504, "no answer in time"));
+            abortResponse();
+        } else if (mayHaveExecuted) {
+            respond(ErrorResponse.withoutRetry(504, "no answer in time"));
         } else {
-            answer(refusal());
+            respond(unsentError());
         }
     }
 
     private boolean isSilent(Server server, long nowMs) {
-        return server.silentToTwoMs(nowMs) > SILENT_MS
-                || server.silentMs(nowMs) > Math.max(SILENT_MS, SILENT_PART * admitted.route().timeoutMs());
+        return server.silentToTwoMs(nowMs) > SILENCE_TIMEOUT_MS
+                || server.silentMs(nowMs) > Math.max(SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_FRACTION * admitted.route().timeoutMs());
     }
 
     /** Looks whether the server has fallen silent. */
-    void review(long nowMs) {
+    void checkServerSilence(long nowMs) {
         if (done || attempt == null || attempt.connection == null || !admitted.route().idempotent()) {
             return;
         }
-        if (nowMs - attempt.sentMs > SILENT_MS && isSilent(attempt.server, nowMs)
-                && sends < admitted.route().attempts()) {
+        if (nowMs - attempt.sentMs > SILENCE_TIMEOUT_MS && isSilent(attempt.server, nowMs)
+                && sentCount < admitted.route().attempts()) {
             Attempt silent = attempt;
             silent.server.failed(nowMs);
             silent.connection.abandon();
@@ -446,28 +446,28 @@
     }
 
     /** The client takes more again. */
-    void writable() {
+    void onClientWritable() {
         if (attempt != null && attempt.connection != null) {
             attempt.connection.channel().config().setAutoRead(true);
         }
     }
 
     /** The client has gone. */
-    void clientGone() {
+    void onClientDisconnected() {
         finish();
     }
 
     /** The node is about to end: what has not been sent is refused. */
-    void shutDown() {
+    void refuseIfUnsent() {
         boolean sent = attempt != null && attempt.connection != null;
-        if (!done && admitted != null && !sent && !mayHaveRun && !relay.hasStarted()) {
-            answer(refusal());
+        if (!done && admitted != null && !sent && !mayHaveExecuted && !relay.hasStarted()) {
+            respond(unsentError());
         }
     }
 
-    private void answer(ErrorResponse refusal) {
+    private void respond(ErrorResponse error) {
         finish();
-        refusal.writeTo(reply);
+        error.writeTo(responseWriter);
     }
 
     private void finish() {
@@ -481,6 +481,6 @@
         if (attempt != null) {
             attempt.abandon();
         }
-        plane.closed(this);
+        plane.removeExchange(this);
     }
 }
