--- a/src/main/java/rowanplank/fleet/Fleet.java
+++ b/src/main/java/rowanplank/fleet/Fleet.java
@@ -33,9 +33,9 @@
 import rowanplank.ledger.Ledger;
 import rowanplank.ledger.Result;
 import rowanplank.ledger.WorkHolder;
+import rowanplank.membership.GossipMessage;
+import rowanplank.membership.MemberUpdate;
 import rowanplank.membership.Membership;
-import rowanplank.membership.News;
-import rowanplank.membership.Note;
 import rowanplank.metrics.RateLimitedLog;
 import rowanplank.net.Loop;
 import rowanplank.net.Programs;
@@ -389,7 +389,7 @@
             if (work != null) {
                 work.onTime(now);
             }
-            members.serves(clients.isReady());
+            members.setServing(clients.isReady());
             members.onTime(now);
             turns.then(this::runTasks);
             if (voter != null && halted == null) {
@@ -427,7 +427,7 @@
             askers.put(e.incarnation(), from);
             asked(now, e.ask());
         } else if (e.note() != null) {
-            turns.run(() -> members.onNote(now, e.sender(), Addresses.format(from), e.note()));
+            turns.run(() -> members.onMessage(now, e.sender(), Addresses.format(from), e.note()));
         } else if (voter != null && halted == null && config.addresses().containsKey(e.sender())
                 && !e.sender().equals(config.node())) {
             voter.heardOf(e.sender(), e.knows());
@@ -519,14 +519,14 @@
             if (node.equals(config.node())) {
                 return clients.isReady();
             }
-            return members.members().stream().anyMatch(m -> m.news().name().equals(node)
-                    && m.news().state() == News.State.ALIVE && m.news().serves());
+            return members.members().stream().anyMatch(m -> m.update().name().equals(node)
+                    && m.update().state() == MemberUpdate.State.ALIVE && m.update().serves());
         }
 
         @Override
         public boolean lives(String node) {
-            return node.equals(config.node()) || members.members().stream().anyMatch(m -> m.news().name().equals(node)
-                    && m.news().state() != News.State.DEAD);
+            return node.equals(config.node()) || members.members().stream().anyMatch(m -> m.update().name().equals(node)
+                    && m.update().state() != MemberUpdate.State.DEAD);
         }
 
         @Override
@@ -619,7 +619,7 @@
 
     private final class Meeting implements Membership.Actions {
         @Override
-        public void send(String address, Note note) {
+        public void send(String address, GossipMessage note) {
             try {
                 Fleet.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, parts.knows(), note));
             } catch (ConfigException e) {
@@ -628,13 +628,13 @@
         }
 
         @Override
-        public void changed(News news) {
+        public void memberChanged(MemberUpdate news) {
             machine.log().info(news.name() + " at " + news.address() + " is "
                     + news.state().name().toLowerCase(Locale.ROOT) + (news.serves() ? ", and serves" : ""));
         }
 
         @Override
-        public void twin(String address) {
+        public void duplicateName(String address) {
             Fleet.this.twin(address);
         }
     }
@@ -712,7 +712,7 @@
             List<String> names = List.copyOf(fresh.addresses().keySet());
             holder.voters(names);
             asker.voters(names);
-            members.known(reached());
+            members.setKnownAddresses(reached());
             for (FleetConfig.Lease l : before.leases()) {
                 if (!fresh.leases().contains(l)) {
                     tasks.finish(l.name(), () -> turns.run(() -> leave(l.name())));
@@ -896,9 +896,9 @@
             o.add("twin", twin);
         }
         JsonArray met = new JsonArray();
-        for (Membership.Known m : members.members()) {
-            met.add(new JsonObject().add("name", m.news().name()).add("at", m.news().address())
-                    .add("state", m.news().state().name().toLowerCase(Locale.ROOT)).add("serves", m.news().serves())
+        for (Membership.MemberState m : members.members()) {
+            met.add(new JsonObject().add("name", m.update().name()).add("at", m.update().address())
+                    .add("state", m.update().state().name().toLowerCase(Locale.ROOT)).add("serves", m.update().serves())
                     .add("for_ms", Duration.between(m.since(), now).toMillis()));
         }
         o.add("serves", members.self().serves()).add("members", met);
--- a/src/main/java/rowanplank/fleet/wire/Envelope.java
+++ b/src/main/java/rowanplank/fleet/wire/Envelope.java
@@ -2,7 +2,7 @@
 
 import rowanplank.agreement.Message;
 import rowanplank.ledger.Ask;
-import rowanplank.membership.Note;
+import rowanplank.membership.GossipMessage;
 
 /**
  * One datagram between nodes: exactly one of the four is not null.
@@ -11,7 +11,7 @@
  * @param incarnation tells the sending process from others of its name
  * @param knows the latest version of the ledger's entries that the sender understands
  */
-public record Envelope(String sender, long incarnation, int knows, Message message, Ask ask, Ask.Answer answer, Note note) {
+public record Envelope(String sender, long incarnation, int knows, Message message, Ask ask, Ask.Answer answer, GossipMessage note) {
     public static Envelope of(String sender, long incarnation, int knows, Message message) {
         return new Envelope(sender, incarnation, knows, message, null, null, null);
     }
@@ -24,7 +24,7 @@
         return new Envelope(sender, incarnation, knows, null, null, answer, null);
     }
 
-    public static Envelope of(String sender, long incarnation, int knows, Note note) {
+    public static Envelope of(String sender, long incarnation, int knows, GossipMessage note) {
         return new Envelope(sender, incarnation, knows, null, null, null, note);
     }
 }
--- a/src/main/java/rowanplank/lab/trial/Plants.java
+++ b/src/main/java/rowanplank/lab/trial/Plants.java
@@ -14,8 +14,8 @@
 import rowanplank.ledger.LeaseHolder;
 import rowanplank.ledger.Ledger;
 import rowanplank.ledger.Result;
+import rowanplank.membership.MemberUpdate;
 import rowanplank.membership.Membership;
-import rowanplank.membership.News;
 import rowanplank.net.Loop;
 import rowanplank.net.StateFile;
 
@@ -139,7 +139,7 @@
                 public Membership membership(Membership.Settings settings, Instant now, Membership.Actions actions) {
                     return new Membership(settings, now, actions) {
                         @Override
-                        protected void learnOfSelf(News n) { }
+                        protected void applyUpdateAboutSelf(MemberUpdate n) { }
                     };
                 }
             };
--- a/src/main/java/rowanplank/membership/News.java
+++ b/src/main/java/rowanplank/membership/MemberUpdate.java
@@ -8,16 +8,16 @@
  * @param serves whether it takes clients: a node may live for its peers and be cut off from those, or drained
  * @param by who suspects it, or has found it dead; empty else
  */
-public record News(String name, String address, long incarnation, State state, boolean serves, String by) {
+public record MemberUpdate(String name, String address, long incarnation, State state, boolean serves, String by) {
     /** In the order in which one beats another of the same incarnation. */
     public enum State { ALIVE, SUSPECT, DEAD, LEFT }
 
-    boolean beats(News other) {
+    boolean supersedes(MemberUpdate other) {
         return incarnation > other.incarnation || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
-    News as(State other, String by) {
-        return new News(name, address, incarnation, other, serves, by);
+    MemberUpdate withState(State other, String by) {
+        return new MemberUpdate(name, address, incarnation, other, serves, by);
     }
 
     /** About what it takes in a datagram. */
@@ -25,7 +25,7 @@
         return name.length() + address.length() + by.length() + 16;
     }
 
-    boolean isThere() {
+    boolean isAliveOrSuspect() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
 }
--- a/src/test/java/rowanplank/fleet/wire/EnvelopeFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/EnvelopeFormTest.java
@@ -16,14 +16,14 @@
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Result;
 import rowanplank.ledger.Window;
-import rowanplank.membership.News;
-import rowanplank.membership.Note;
+import rowanplank.membership.GossipMessage;
+import rowanplank.membership.MemberUpdate;
 
 class EnvelopeFormTest {
     private static final EnvelopeForm FORM = new EnvelopeForm("press");
 
-    private static final List<News> NEWS = List.of(new News("n4", "10.0.0.4:7946", 1L << 60, News.State.SUSPECT, true, "n2"),
-            new News("n5", "10.0.0.5:7946", 1, News.State.ALIVE, false, ""));
+    private static final List<MemberUpdate> NEWS = List.of(new MemberUpdate("n4", "10.0.0.4:7946", 1L << 60, MemberUpdate.State.SUSPECT, true, "n2"),
+            new MemberUpdate("n5", "10.0.0.5:7946", 1, MemberUpdate.State.ALIVE, false, ""));
 
     static List<Envelope> envelopes() {
         return List.of(of(new Message.VoteRequest(9, true, false, 1L << 40, 8)), of(new Message.VoteResponse(9, false, true)),
@@ -38,8 +38,8 @@
                 of(new Ask.Poll("m1", "north")), of(new Ask.Poll("m1", "", new Ask.Service(1L << 40, 2, 3, 4, 5, 6))),
                 of(new Ask.Staff(new Command.Staff(7, Command.StaffWord.ASK, List.of("n1"), "n2", "", false, true, 9,
                         Window.parse("22:00-04:30")))),
-                of(new Note.Ping(9, NEWS)), of(new Note.Ack(1L << 40, List.of())), of(new Note.PingFor(9, "n4", "10.0.0.4:7", NEWS)),
-                of(new Note.Nack(9, NEWS)), of(new Note.ListAsk("", NEWS)), of(new Note.ListReply("n4", NEWS)),
+                of(new GossipMessage.Ping(9, NEWS)), of(new GossipMessage.Ack(1L << 40, List.of())), of(new GossipMessage.PingRequest(9, "n4", "10.0.0.4:7", NEWS)),
+                of(new GossipMessage.Nack(9, NEWS)), of(new GossipMessage.MemberListRequest("", NEWS)), of(new GossipMessage.MemberListResponse("n4", NEWS)),
                 Envelope.of("n1", 5, 2, new Ask.Answer(44, 6, new Result(Result.Kind.HELD, 8, "n2"))));
     }
 
@@ -47,7 +47,7 @@
         return Envelope.of("n1", 5, 2, m);
     }
 
-    private static Envelope of(Note note) {
+    private static Envelope of(GossipMessage note) {
         return Envelope.of("n1", 5, 2, note);
     }
 
--- a/src/test/java/rowanplank/membership/MembershipTest.java
+++ b/src/test/java/rowanplank/membership/MembershipTest.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rowanplank.membership.News.State;
+import rowanplank.membership.MemberUpdate.State;
 
 /** Nodes that tell each other who lives, on a network whose ways can be cut one by one; a step is 10 ms. */
 class MembershipTest {
     private static final Instant ZERO = Instant.parse("2026-01-01T00:00:00Z");
     private static final Duration PERIOD = Duration.ofMillis(200);
 
-    private record Sent(String from, String to, Note note) { }
+    private record Sent(String from, String to, GossipMessage note) { }
 
     private final Map<String, Membership> nodes = new TreeMap<>();
     private final TreeSet<String> cut = new TreeSet<>();
@@ -44,17 +44,17 @@
         nodes.put(address, new Membership(new Membership.Settings(name, address, incarnation, Map.of(known, known),
                 PERIOD, address.hashCode()), now, new Membership.Actions() {
                     @Override
-                    public void send(String to, Note note) {
+                    public void send(String to, GossipMessage note) {
                         under.add(new Sent(address, to, note));
                     }
 
                     @Override
-                    public void changed(News news) {
+                    public void memberChanged(MemberUpdate news) {
                         told.add(address + ": " + news.name() + " " + news.state());
                     }
 
                     @Override
-                    public void twin(String other) {
+                    public void duplicateName(String other) {
                         told.add(address + ": twin at " + other);
                     }
                 }));
@@ -70,7 +70,7 @@
                     under.add(s); // it waits there to be read
                 } else if (nodes.containsKey(s.to()) && !cut.contains(s.from() + " " + s.to())) {
                     String from = nodes.get(s.from()) == null ? s.from() : nodes.get(s.from()).self().name();
-                    nodes.get(s.to()).onNote(now, from, s.from(), s.note());
+                    nodes.get(s.to()).onMessage(now, from, s.from(), s.note());
                 }
             }
             nodes.forEach((name, node) -> {
@@ -82,8 +82,8 @@
     }
 
     private State state(String viewer, String name) {
-        return nodes.get(viewer).members().stream().filter(m -> m.news().name().equals(name))
-                .map(m -> m.news().state()).findFirst().orElse(null);
+        return nodes.get(viewer).members().stream().filter(m -> m.update().name().equals(name))
+                .map(m -> m.update().state()).findFirst().orElse(null);
     }
 
     private void allSee(State state, String name) {
@@ -158,10 +158,10 @@
     void aNodeThatLivesMayServeOrNot() {
         start(4);
         run(2000);
-        nodes.get("n4").serves(true);
+        nodes.get("n4").setServing(true);
         run(1000);
         for (String viewer : List.of("n1", "n2", "n3")) {
-            assertTrue(nodes.get(viewer).members().stream().anyMatch(m -> m.news().name().equals("n4") && m.news().serves()));
+            assertTrue(nodes.get(viewer).members().stream().anyMatch(m -> m.update().name().equals("n4") && m.update().serves()));
         }
         nodes.get("n4").leave();
         nodes.remove("n4");
@@ -174,13 +174,13 @@
     @Test
     void whatAnEarlierProcessSaidUnderTheSameNumberDoesNotStand() {
         start(3);
-        nodes.get("n2").serves(true);
-        nodes.get("n2").serves(false);
+        nodes.get("n2").setServing(true);
+        nodes.get("n2").setServing(false);
         run(2000);
         start("n2", 101, "n1");
-        nodes.get("n2").serves(true);
+        nodes.get("n2").setServing(true);
         run(3000);
-        assertTrue(nodes.get("n1").members().stream().anyMatch(m -> m.news().name().equals("n2") && m.news().serves()));
+        assertTrue(nodes.get("n1").members().stream().anyMatch(m -> m.update().name().equals("n2") && m.update().serves()));
     }
 
     @Test
