--- a/src/main/java/routerfleet/control/OrderQueue.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateQueue.java
@@ -20,16 +20,16 @@
  *
  * <p>Bound: {@value #MOST_WAITING} orders.
  */
-final class OrderQueue {
+final class ConfigUpdateQueue {
     private static final int MOST_WAITING = 64;
 
     /** Answers an order: acknowledged, refused, or not known what becomes of it. */
-    enum Outcome { TAKEN, CONFLICT, INVALID, TOO_LARGE, UNCLEAR }
+    enum Outcome { ACCEPTED, CONFLICT, INVALID, TOO_LARGE, UNKNOWN }
 
     /** An order's outcome and, for a refusal, the reason in one line. */
-    record Answer(Outcome outcome, String text) {
-        static Answer unclear(String why) {
-            return new Answer(Outcome.UNCLEAR, why);
+    record Result(Outcome outcome, String message) {
+        static Result unknown(String why) {
+            return new Result(Outcome.UNKNOWN, why);
         }
     }
 
@@ -45,17 +45,17 @@
         void defer(Runnable task);
     }
 
-    private record Pending(ConfigOrder order, Consumer<Answer> answer) { }
+    private record Pending(ConfigOrder order, Consumer<Result> answer) { }
 
     private final Leader leader;
     private final ConfigStore store;
-    private final OrderExaminer examiner;
+    private final ConfigUpdateValidator examiner;
     private final Deque<Pending> waiting = new ArrayDeque<>();
     private Pending current;
     private long currentIndex;
 
     /** @param store the state that decided orders have led to */
-    OrderQueue(Leader leader, ConfigStore store, OrderExaminer examiner) {
+    ConfigUpdateQueue(Leader leader, ConfigStore store, ConfigUpdateValidator examiner) {
         this.leader = leader;
         this.store = store;
         this.examiner = examiner;
@@ -72,7 +72,7 @@
      * @param document told at once or later, as it stands at this call
      * @param failed run instead where it can't be put together, or too many wait for it
      */
-    void document(Consumer<byte[]> document, Runnable failed) {
+    void mergedDocument(Consumer<byte[]> document, Runnable failed) {
         ConfigDocument current = store.current().document();
         examiner.merge(current, bytes -> {
             store.merged(current, bytes);
@@ -85,7 +85,7 @@
     }
 
     /** Takes an order in; it is answered later. */
-    void add(ConfigOrder order, Consumer<Answer> answer) {
+    void add(ConfigOrder order, Consumer<Result> answer) {
         waiting.add(new Pending(order, answer));
         next();
     }
@@ -100,7 +100,7 @@
     }
 
     private void confirmed(Pending pending, Runnable next) {
-        leader.confirmLeadership(next, () -> finish(pending, Answer.unclear("leadership lost")));
+        leader.confirmLeadership(next, () -> finish(pending, Result.unknown("leadership lost")));
     }
 
     private void decide(Pending pending) {
@@ -118,7 +118,7 @@
             return;
         }
         long generation = store.generation();
-        examiner.examine(pending.order(), store.current(), result -> examined(pending, generation, result));
+        examiner.validate(pending.order(), store.current(), result -> examined(pending, generation, result));
     }
 
     private void examined(Pending pending, long generation, Either<ConfigFault, ConfigChange> result) {
@@ -145,19 +145,19 @@
     private void propose(Pending pending, ConfigChange change) {
         currentIndex = leader.propose(change);
         if (currentIndex == 0) {
-            finish(pending, Answer.unclear("can't be proposed now"));
+            finish(pending, Result.unknown("can't be proposed now"));
         }
     }
 
     /** An order is decided, and this came of it. @param index where it stands */
-    void decided(long index, Either<ConfigFault, Long> result) {
+    void applied(long index, Either<ConfigFault, Long> result) {
         if (current != null && index == currentIndex) {
             Pending pending = current;
             leader.defer(() -> finish(pending, answer(result)));
         }
     }
 
-    private void finish(Pending pending, Answer answer) {
+    private void finish(Pending pending, Result answer) {
         if (pending != current) {
             return; // answered when leadership was lost
         }
@@ -176,13 +176,13 @@
             current = null;
             currentIndex = 0;
         }
-        unclear.forEach(pending -> pending.answer().accept(Answer.unclear("leadership lost")));
+        unclear.forEach(pending -> pending.answer().accept(Result.unknown("leadership lost")));
     }
 
-    private static Answer answer(Either<ConfigFault, Long> result) {
+    private static Result answer(Either<ConfigFault, Long> result) {
         return result.fold(
-                fault -> new Answer(outcome(fault.kind()), fault.toString()),
-                generation -> new Answer(Outcome.TAKEN, Long.toString(generation)));
+                fault -> new Result(outcome(fault.kind()), fault.toString()),
+                generation -> new Result(Outcome.ACCEPTED, Long.toString(generation)));
     }
 
     private static Outcome outcome(ConfigFault.Kind kind) {
--- a/src/main/java/routerfleet/control/OrderRouter.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateRouter.java
@@ -13,7 +13,7 @@
  * Brings operators' orders to the replica that leads, here or at another node, and its answers back. An order without a
  * clear answer in time is answered 503, after which the operator sends it again; what becomes of it is open.
  */
-final class OrderRouter {
+final class ConfigUpdateRouter {
     private static final long ORDER_TIMEOUT_MS = 900;
     private static final long LEADER_WAIT_MS = 40;
     private static final int OK = 200;
@@ -35,7 +35,7 @@
      * @param replica the name of this node's replica
      * @param firstId drawn anew in each life of the process, so that an answer to an earlier one fits no order
      */
-    OrderRouter(Scheduler scheduler, String replica, ReplicaGroup group, ControlPeers peers, long firstId) {
+    ConfigUpdateRouter(Scheduler scheduler, String replica, ReplicaGroup group, ControlPeers peers, long firstId) {
         this.scheduler = scheduler;
         this.replica = replica;
         this.group = group;
@@ -44,7 +44,7 @@
     }
 
     /** Takes an operator's order. */
-    void take(ConfigOrder.Kind kind, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    void submit(ConfigOrder.Kind kind, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
         long base;
         try {
             base = Long.parseLong(String.valueOf(request.baseVersion()).strip());
@@ -56,7 +56,7 @@
         long id = ++lastId;
         waiting.put(id, reply -> answer.accept(response(reply)));
         route(id, order);
-        scheduler.schedule(() -> answered(new PeerMessage.OrderReply(id, UNCLEAR, "no clear answer in time")),
+        scheduler.schedule(() -> receiveReply(new PeerMessage.OrderReply(id, UNCLEAR, "no clear answer in time")),
                 ORDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -66,7 +66,7 @@
             return; // answered, or out of time
         }
         if (group.leads()) {
-            group.order(order, result -> answered(reply(id, result)));
+            group.order(order, result -> receiveReply(reply(id, result)));
         } else if (group.leader() == null || group.leader().equals(replica)
                 || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.OrderRequest(id, order))) {
             scheduler.schedule(() -> route(id, order), LEADER_WAIT_MS, TimeUnit.MILLISECONDS);
@@ -74,27 +74,27 @@
     }
 
     /** Another node has sent an order on, to this one as the leader. */
-    void forwarded(PeerLink link, PeerMessage.OrderRequest request) {
+    void receiveForwarded(PeerLink link, PeerMessage.OrderRequest request) {
         group.order(request.order(), result -> link.send(reply(request.id(), result)));
     }
 
     /** The leader has answered. */
-    void answered(PeerMessage.OrderReply reply) {
+    void receiveReply(PeerMessage.OrderReply reply) {
         Consumer<PeerMessage.OrderReply> asked = waiting.remove(reply.id());
         if (asked != null) {
             asked.accept(reply);
         }
     }
 
-    private static PeerMessage.OrderReply reply(long id, OrderQueue.Answer answer) {
+    private static PeerMessage.OrderReply reply(long id, ConfigUpdateQueue.Result answer) {
         int status = switch (answer.outcome()) {
-            case TAKEN -> OK;
+            case ACCEPTED -> OK;
             case CONFLICT -> CONFLICT;
             case INVALID -> INVALID;
             case TOO_LARGE -> TOO_LARGE;
-            case UNCLEAR -> UNCLEAR;
+            case UNKNOWN -> UNCLEAR;
         };
-        return new PeerMessage.OrderReply(id, status, answer.text());
+        return new PeerMessage.OrderReply(id, status, answer.message());
     }
 
     private static ControlHttp.Response response(PeerMessage.OrderReply reply) {
--- a/src/main/java/routerfleet/control/OrderExaminer.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateValidator.java
@@ -19,13 +19,13 @@
  * Examines orders, and merges documents, beside the event loop: the first JSON of a process takes seconds on a small
  * machine, and a leader that sends no heartbeats meanwhile would be replaced.
  */
-final class OrderExaminer {
+final class ConfigUpdateValidator {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.replica");
 
     private static final int MOST_MERGE_WAITERS = 1_024;
 
     /** Who waits for a document. */
-    private record MergeWaiter(Consumer<byte[]> merged, Runnable failed) {
+    private record MergeCallback(Consumer<byte[]> merged, Runnable failed) {
         void tell(byte[] bytes) {
             if (bytes == null) {
                 failed.run();
@@ -36,7 +36,7 @@
     }
 
     /** Who waits for which document, by the document itself and not by what it says; for the loop only. */
-    private final Map<ConfigDocument, List<MergeWaiter>> merges = new IdentityHashMap<>();
+    private final Map<ConfigDocument, List<MergeCallback>> merges = new IdentityHashMap<>();
     private int mergeWaiters;
     private final ConfigExaminer examiner = new ConfigExaminer();
     private final Executor worker;
@@ -46,7 +46,7 @@
      * @param worker runs one task at a time
      * @param loop where results are told
      */
-    OrderExaminer(Executor worker, Executor loop) {
+    ConfigUpdateValidator(Executor worker, Executor loop) {
         this.worker = worker;
         this.loop = loop;
     }
@@ -73,8 +73,8 @@
             return;
         }
         mergeWaiters++;
-        MergeWaiter waiter = new MergeWaiter(merged, failed);
-        List<MergeWaiter> sharing = merges.get(document);
+        MergeCallback waiter = new MergeCallback(merged, failed);
+        List<MergeCallback> sharing = merges.get(document);
         if (sharing == null) {
             merges.put(document, new ArrayList<>(List.of(waiter)));
             run(() -> mergeBesideLoop(document));
@@ -86,7 +86,7 @@
     private void mergeBesideLoop(ConfigDocument document) {
         byte[] bytes = bytesOf(document);
         loop.execute(() -> {
-            List<MergeWaiter> sharing = merges.remove(document);
+            List<MergeCallback> sharing = merges.remove(document);
             mergeWaiters -= sharing.size();
             sharing.forEach(waiter -> waiter.tell(bytes));
         });
@@ -103,7 +103,7 @@
     }
 
     /** @param result told on the loop */
-    void examine(ConfigOrder order, ConfigExaminer.Current current, Consumer<Either<ConfigFault, ConfigChange>> result) {
+    void validate(ConfigOrder order, ConfigExaminer.Current current, Consumer<Either<ConfigFault, ConfigChange>> result) {
         run(() -> {
             Either<ConfigFault, ConfigChange> examined = examined(order, current);
             loop.execute(() -> result.accept(examined));
--- a/src/main/java/routerfleet/control/ControlHttp.java
+++ b/src/main/java/routerfleet/control/ControlHttp.java
@@ -43,9 +43,9 @@
      * A request.
      *
      * @param baseVersion the header that an order names its base in; null where there is none
-     * @param callerWaits whether the caller has not given up, as far as the connection tells
+     * @param callerConnected whether the caller has not given up, as far as the connection tells
      */
-    record Request(String method, String path, String baseVersion, byte[] body, BooleanSupplier callerWaits) {
+    record Request(String method, String path, String baseVersion, byte[] body, BooleanSupplier callerConnected) {
         /** A request whose caller waits however long it takes. */
         Request(String method, String path, String baseVersion, byte[] body) {
             this(method, path, baseVersion, body, () -> true);
@@ -81,7 +81,7 @@
     private ControlHttp() { }
 
     /** Listens; connections are taken once {@link Listeners#accept} is called. */
-    static Channel listenClosed(EventLoopGroup group, HostPort address, Handler handler) throws BindException {
+    static Channel bind(EventLoopGroup group, HostPort address, Handler handler) throws BindException {
         return Listeners.listenClosed(group, address, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
--- a/src/main/java/routerfleet/control/ControlNode.java
+++ b/src/main/java/routerfleet/control/ControlNode.java
@@ -64,11 +64,11 @@
     public void start() throws IOException {
         load();
         peerListener = service.listenToPeers();
-        loop.submit(service::begin).syncUninterruptibly();
+        loop.submit(service::start).syncUninterruptibly();
         peerListener.accept();
         dataListener = service.listenToDataNodes();
-        http = ControlHttp.listenClosed(group, settings.controlPlane(), service::handle);
-        loop.execute(() -> service.whenSettled(this::letIn));
+        http = ControlHttp.bind(group, settings.controlPlane(), service::handle);
+        loop.execute(() -> service.runOnceLeaderKnown(this::letIn));
         LOG.log(System.Logger.Level.INFO, "control node " + settings.nodeName() + " is up as replica "
                 + service.replica());
     }
@@ -114,7 +114,7 @@
 
     /** Takes new settings: only the seeds may change while the process runs. */
     public void reload(LocalSettings changed) {
-        loop.execute(() -> service.seeds(changed.seeds()));
+        loop.execute(() -> service.updateSeeds(changed.seeds()));
     }
 
     /**
--- a/src/main/java/routerfleet/control/ControlParts.java
+++ b/src/main/java/routerfleet/control/ControlParts.java
@@ -40,8 +40,8 @@
         return new Freshness(scheduler, group, peers, firstId);
     }
 
-    OrderQueue orders(OrderQueue.Leader leader, ConfigStore store, Executor loop) {
-        return new OrderQueue(leader, store, new OrderExaminer(examiners, loop));
+    ConfigUpdateQueue orders(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
+        return new ConfigUpdateQueue(leader, store, new ConfigUpdateValidator(examiners, loop));
     }
 
     ConfigStore store() {
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -58,7 +58,7 @@
     private final RandomGenerator random;
     private final ControlParts parts;
     private final ControlPeers peers;
-    private final DataNodes dataNodes = new DataNodes();
+    private final DataNodeConnections dataNodes = new DataNodeConnections();
     private final QuotaGrantor quotas;
     private final SessionTable table;
     private final TallyService tallies;
@@ -69,9 +69,9 @@
     private Freshness freshness;
     private SessionService sessions;
     private DataNodeService dataPlane;
-    private OrderRouter orders;
+    private ConfigUpdateRouter orders;
     private EvacuationService evacuations;
-    private SessionHints hints;
+    private SessionStorage hints;
     private List<SessionRecord> earlierSessions = List.of();
     private long warmUntilNanos;
     private Runnable whenSettled;
@@ -129,13 +129,13 @@
     }
 
     /** Begins, with what was loaded. */
-    void begin() {
+    void start() {
         replicas = new ReplicaGroup(scheduler, codec, replica, saved, storage, random.nextLong(),
                 new GroupSurroundings(), parts);
         saved = null;
         planner = parts.planner(replica);
         freshness = parts.freshness(scheduler, replicas, peers, random.nextLong() >>> 2);
-        orders = new OrderRouter(scheduler, replica, replicas, peers, random.nextLong() >>> 2);
+        orders = new ConfigUpdateRouter(scheduler, replica, replicas, peers, random.nextLong() >>> 2);
         evacuations = new EvacuationService(scheduler, settings.zones(), replicas, freshness, peers,
                 random.nextLong() >>> 2);
         divideQuotas();
@@ -145,7 +145,7 @@
                 warmUntilNanos);
         takeEarlierSessions();
         sessions = new SessionService(scheduler, table, peers, this::promiseIsHeld,
-                () -> dataNodes.present(scheduler.nanoTime()) > 0, dataPlane::changed, hints::keep);
+                () -> dataNodes.countActive(scheduler.nanoTime()) > 0, dataPlane::scheduleFlush, hints::save);
         peers.start(new PeerDialer(scheduler, network, LinkTiming.CONTROL,
                 address -> new OutgoingListener(address.host())));
         tallies.begin();
@@ -172,13 +172,13 @@
     private void keepSessions() {
         if (scheduler.nanoTime() - warmUntilNanos >= 0) {
             earlierSessions = List.of();
-            hints.refresh();
+            hints.saveIfChanged();
         }
     }
 
     /** Until the table has filled, servers that were ready before the start stay on disk. */
     private List<SessionRecord> sessionsToKeep() {
-        List<SessionRecord> kept = table.lasting();
+        List<SessionRecord> kept = table.recordsToSave();
         earlierSessions.stream().filter(s -> table.find(s.uid()) == null).forEach(kept::add);
         return kept;
     }
@@ -193,9 +193,9 @@
                 table.merge(session, scheduler.nanoTime());
             }
         }
-        dataPlane.earlierSessions(codec.encode(new PeerMessage.Sessions(0, ready)));
+        dataPlane.setEarlierSessions(codec.encode(new PeerMessage.Sessions(0, ready)));
         earlierSessions = ready;
-        hints.source(this::sessionsToKeep);
+        hints.setSource(this::sessionsToKeep);
     }
 
     /** Listens for other control nodes. @throws IOException if the address is taken */
@@ -212,7 +212,7 @@
      * Runs a task once there is a leader, or after {@value #SETTLED_MS} ms without: what comes from data nodes and servers
      * would only keep a node that has just started from electing one. Once, after the service has begun.
      */
-    void whenSettled(Runnable task) {
+    void runOnceLeaderKnown(Runnable task) {
         whenSettled = task;
         scheduler.schedule(this::settled, SETTLED_MS, TimeUnit.MILLISECONDS);
         if (replicas.leader() != null) {
@@ -244,7 +244,7 @@
     }
 
     /** Takes new seeds. */
-    void seeds(List<HostPort> changed) {
+    void updateSeeds(List<HostPort> changed) {
         seeds = changed;
         learnSeeds();
     }
@@ -319,9 +319,9 @@
             freshness.whenFresh(() -> readBack(answer),
                     () -> answer.accept(ControlHttp.Response.error(UNAVAILABLE, "no majority of replicas answers")));
         } else if (request.method().equals("POST") && path.equals(CONFIG + "replace")) {
-            orders.take(ConfigOrder.Kind.REPLACE, request, answer);
+            orders.submit(ConfigOrder.Kind.REPLACE, request, answer);
         } else if (request.method().equals("POST") && path.equals(CONFIG + "patch")) {
-            orders.take(ConfigOrder.Kind.PATCH, request, answer);
+            orders.submit(ConfigOrder.Kind.PATCH, request, answer);
         } else if (path.startsWith(EVACUATIONS)) {
             evacuations.handle(path.substring(EVACUATIONS.length()), request, answer);
         } else if (request.method().equals("POST") && path.startsWith(INSTANCES)) {
@@ -335,7 +335,7 @@
 
     private void readBack(Consumer<ControlHttp.Response> answer) {
         if (replicas.answersReads()) {
-            replicas.orders().document(document -> answer.accept(new ControlHttp.Response(OK, document)),
+            replicas.orders().mergedDocument(document -> answer.accept(new ControlHttp.Response(OK, document)),
                     () -> answer.accept(ControlHttp.Response.error(UNAVAILABLE, "the configuration can't be told now")));
         } else {
             answer.accept(ControlHttp.Response.error(UNAVAILABLE, "no member of the replica group"));
@@ -372,15 +372,15 @@
         } else if (message instanceof PeerMessage.ReadIndexReply reply) {
             freshness.answered(reply);
         } else if (message instanceof PeerMessage.OrderRequest request) {
-            orders.forwarded(link, request);
+            orders.receiveForwarded(link, request);
         } else if (message instanceof PeerMessage.OrderReply reply) {
-            orders.answered(reply);
+            orders.receiveReply(reply);
         } else if (message instanceof PeerMessage.EvacuationRequest request) {
-            evacuations.forwarded(link, request);
+            evacuations.receiveForwarded(link, request);
         } else if (message instanceof PeerMessage.EvacuationReply reply) {
-            evacuations.answered(reply);
+            evacuations.receiveReply(reply);
         } else if (message instanceof PeerMessage.ConfigRequest request) {
-            dataPlane.configuration(link, request.knownGeneration());
+            dataPlane.sendConfiguration(link, request.knownGeneration());
         } else if (message instanceof PeerMessage.DataHello hello) {
             dataPlane.hello(link, hello);
         } else if (message instanceof PeerMessage.Leaving) {
@@ -410,7 +410,7 @@
     private void reconcileSessions(PeerLink link, PeerMessage.SessionsDigest digest) {
         ControlPeers.Peer peer = peers.find(link);
         if (peer != null) {
-            sessions.reconcile(peer.ip(), digest.digest());
+            sessions.reconcileWith(peer.ip(), digest.digest());
         }
     }
 
@@ -423,13 +423,13 @@
         @Override
         public void configurationChanged(long generation) {
             divideQuotas();
-            dataPlane.changed();
+            dataPlane.scheduleFlush();
         }
 
         @Override
         public void evacuationsChanged(Evacuations changed) {
-            evacuations.changed(changed);
-            dataPlane.changed();
+            evacuations.logChanges(changed);
+            dataPlane.scheduleFlush();
         }
 
         @Override
--- a/src/main/java/routerfleet/control/DataNodes.java
+++ b/src/main/java/routerfleet/control/DataNodeConnections.java
@@ -8,38 +8,38 @@
 import routerfleet.wire.PeerMessage;
 
 /** The data nodes that hold a session with this control node. */
-final class DataNodes {
+final class DataNodeConnections {
     private static final long PRESENT_MS = 2_500;
 
     /** One connection of a data node. */
-    static final class Session {
+    static final class Connection {
         final PeerLink link;
         final String ip;
         /** Whether it has said if it is the primary connection. */
-        boolean polled;
+        boolean hasPolled;
         boolean primary;
         long sentRevision;
         long sentGeneration;
         /** The revision of the evacuations that it was told of. */
         long sentEvacuations;
 
-        Session(PeerLink link, String ip) {
+        Connection(PeerLink link, String ip) {
             this.link = link;
             this.ip = ip;
         }
     }
 
-    private final Map<PeerLink, Session> sessions = new LinkedHashMap<>();
+    private final Map<PeerLink, Connection> sessions = new LinkedHashMap<>();
     /** When each data node asked last, by address. */
     private final Map<String, Long> askedNanos = new TreeMap<>();
 
-    Session open(PeerLink link, String ip) {
-        Session session = new Session(link, ip);
+    Connection open(PeerLink link, String ip) {
+        Connection session = new Connection(link, ip);
         sessions.put(link, session);
         return session;
     }
 
-    Session find(PeerLink link) {
+    Connection find(PeerLink link) {
         return sessions.get(link);
     }
 
@@ -47,18 +47,18 @@
         sessions.remove(link);
     }
 
-    Iterable<Session> sessions() {
+    Iterable<Connection> all() {
         return sessions.values();
     }
 
-    void polled(Session session, PeerMessage.Poll poll, long nowNanos) {
-        session.polled = true;
+    void recordPoll(Connection session, PeerMessage.Poll poll, long nowNanos) {
+        session.hasPolled = true;
         session.primary = poll.primary();
         askedNanos.put(session.ip, nowNanos);
     }
 
     /** How many data nodes have asked lately. */
-    int present(long nowNanos) {
+    int countActive(long nowNanos) {
         long since = nowNanos - TimeUnit.MILLISECONDS.toNanos(PRESENT_MS);
         askedNanos.values().removeIf(asked -> asked - since <= 0);
         return askedNanos.size();
--- a/src/main/java/routerfleet/control/DataNodeService.java
+++ b/src/main/java/routerfleet/control/DataNodeService.java
@@ -15,7 +15,7 @@
     private final Scheduler scheduler;
     private final long epoch;
     private final SessionTable table;
-    private final DataNodes nodes;
+    private final DataNodeConnections nodes;
     private final ControlPeers peers;
     private final ReplicaGroup group;
     private final Freshness freshness;
@@ -24,7 +24,7 @@
     private boolean flushPlanned;
 
     /** @param warmUntilNanos until when the session table may still lack servers, on the scheduler's clock */
-    DataNodeService(Scheduler scheduler, long epoch, SessionTable table, DataNodes nodes, ControlPeers peers,
+    DataNodeService(Scheduler scheduler, long epoch, SessionTable table, DataNodeConnections nodes, ControlPeers peers,
             ReplicaGroup group, Freshness freshness, long warmUntilNanos) {
         this.scheduler = scheduler;
         this.epoch = epoch;
@@ -37,7 +37,7 @@
     }
 
     /** Takes the servers known before the start, as {@link PeerMessage.EarlierSessions} carries them. */
-    void earlierSessions(byte[] sessions) {
+    void setEarlierSessions(byte[] sessions) {
         earlierSessions = sessions;
     }
 
@@ -46,7 +46,7 @@
     }
 
     void hello(PeerLink link, PeerMessage.DataHello hello) {
-        DataNodes.Session session = nodes.open(link, hello.ip());
+        DataNodeConnections.Connection session = nodes.open(link, hello.ip());
         boolean known = hello.epoch() == epoch && hello.revision() <= table.revision();
         session.sentRevision = known ? hello.revision() : 0;
         if (!known) {
@@ -60,13 +60,13 @@
     }
 
     void poll(PeerLink link, PeerMessage.Poll poll) {
-        DataNodes.Session session = nodes.find(link);
+        DataNodeConnections.Connection session = nodes.find(link);
         if (session == null) {
             return;
         }
         long now = scheduler.nanoTime();
         boolean becamePrimary = poll.primary() && !session.primary;
-        nodes.polled(session, poll, now);
+        nodes.recordPoll(session, poll, now);
         if (becamePrimary) {
             session.sentGeneration = poll.generation(); // so far it has only been told the number
         }
@@ -79,22 +79,22 @@
     }
 
     /** @param arrivedNanos when the question came, on the scheduler's clock */
-    private void answer(DataNodes.Session session, PeerMessage.Poll poll, long arrivedNanos) {
+    private void answer(DataNodeConnections.Connection session, PeerMessage.Poll poll, long arrivedNanos) {
         long now = scheduler.nanoTime();
         session.link.send(new PeerMessage.PollReply(poll.id(), group.generation(), freshness.ageMicros(arrivedNanos),
-                isWarming(), nodes.present(now), peers.connected(), group.replicaAddresses(), group.evacuations()));
+                isWarming(), nodes.countActive(now), peers.connected(), group.replicaAddresses(), group.evacuations()));
         session.sentEvacuations = group.evacuations().revision();
         flush(session);
     }
 
-    void configuration(PeerLink link, long knownGeneration) {
+    void sendConfiguration(PeerLink link, long knownGeneration) {
         if (group.generation() > knownGeneration) {
             link.send(group.committed().whole());
         }
     }
 
     /** Something has changed that data nodes have to hear of. */
-    void changed() {
+    void scheduleFlush() {
         if (!flushPlanned) {
             flushPlanned = true;
             scheduler.schedule(this::flushAll, GATHER_MS, TimeUnit.MILLISECONDS);
@@ -103,16 +103,16 @@
 
     private void flushAll() {
         flushPlanned = false;
-        nodes.sessions().forEach(this::flush);
+        nodes.all().forEach(this::flush);
     }
 
     /** The newest configuration: what has changed, for one that has the generation before. */
-    private PeerMessage committedFor(DataNodes.Session session) {
+    private PeerMessage committedFor(DataNodeConnections.Connection session) {
         PeerMessage.CommittedDelta delta = group.committed().delta();
         return delta != null && delta.base() == session.sentGeneration ? delta : group.committed().whole();
     }
 
-    private void flush(DataNodes.Session session) {
+    private void flush(DataNodeConnections.Connection session) {
         if (session.sentRevision < table.revision()) {
             List<SessionView> changes = table.changesAfter(session.sentRevision);
             session.sentRevision = table.revision();
@@ -123,7 +123,7 @@
             session.link.send(new PeerMessage.EvacuationNotice(group.evacuations()));
         }
         boolean known = freshness.ageMicros(scheduler.nanoTime()) >= 0; // before, it may be any earlier configuration
-        if (known && session.polled && session.sentGeneration < group.generation()) {
+        if (known && session.hasPolled && session.sentGeneration < group.generation()) {
             session.link.send(session.primary ? committedFor(session) : new PeerMessage.ConfigNotice(group.generation()));
             session.sentGeneration = group.generation();
         }
--- a/src/main/java/routerfleet/control/EvacuationService.java
+++ b/src/main/java/routerfleet/control/EvacuationService.java
@@ -55,7 +55,7 @@
         }
 
         boolean callerWaits() {
-            return request.callerWaits().getAsBoolean();
+            return request.callerConnected().getAsBoolean();
         }
 
         EvacuationOrder on(Evacuations current) {
@@ -84,7 +84,7 @@
         this.freshness = freshness;
         this.peers = peers;
         lastId = firstId;
-        changed(group.evacuations());
+        logChanges(group.evacuations());
     }
 
     /** Answers a call. @param path what follows the path of all evacuations */
@@ -158,7 +158,7 @@
 
     private void send(long id, EvacuationOrder order, Call call) {
         if (group.leads()) {
-            group.evacuate(order, outcome -> answered(new PeerMessage.EvacuationReply(id, outcome)));
+            group.evacuate(order, outcome -> receiveReply(new PeerMessage.EvacuationReply(id, outcome)));
         } else if (group.leader() == null
                 || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.EvacuationRequest(id, order))) {
             again(id);
@@ -177,12 +177,12 @@
     }
 
     /** Another node has sent an order on, to this one as the leader. */
-    void forwarded(PeerLink link, PeerMessage.EvacuationRequest request) {
+    void receiveForwarded(PeerLink link, PeerMessage.EvacuationRequest request) {
         group.evacuate(request.order(), outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
     }
 
     /** The leader has answered. What is not taken is decided anew. */
-    void answered(PeerMessage.EvacuationReply reply) {
+    void receiveReply(PeerMessage.EvacuationReply reply) {
         if (reply.outcome() == EvacuationOutcome.TAKEN) {
             finish(reply.id(), ControlHttp.Response.ok());
         } else if (reply.outcome() == EvacuationOutcome.CONFLICT) {
@@ -193,7 +193,7 @@
     }
 
     /** Other zones are evacuated. */
-    void changed(Evacuations newest) {
+    void logChanges(Evacuations newest) {
         List<String> before = known.zones();
         known = newest;
         newest.zones().stream().filter(zone -> !before.contains(zone)).forEach(zone -> LOG.log(System.Logger.Level.INFO,
--- a/src/main/java/routerfleet/control/EvacuationQueue.java
+++ b/src/main/java/routerfleet/control/PendingEvacuations.java
@@ -13,7 +13,7 @@
  *
  * <p>Bound: {@value #MOST_WAITING} orders.
  */
-final class EvacuationQueue {
+final class PendingEvacuations {
     private static final int MOST_WAITING = 256;
 
     private final Map<Long, Consumer<EvacuationOutcome>> waiting = new TreeMap<>();
@@ -23,7 +23,7 @@
     }
 
     /** Tells what becomes of the order at that entry, once it is decided; 0 for an order that could not be proposed. */
-    void await(long index, Consumer<EvacuationOutcome> answer) {
+    void register(long index, Consumer<EvacuationOutcome> answer) {
         if (index == 0) {
             answer.accept(EvacuationOutcome.UNCLEAR);
         } else {
@@ -32,7 +32,7 @@
     }
 
     /** The order at that entry is decided. */
-    void decided(long index, boolean taken) {
+    void applied(long index, boolean taken) {
         Consumer<EvacuationOutcome> answer = waiting.remove(index);
         if (answer != null) {
             answer.accept(taken ? EvacuationOutcome.TAKEN : EvacuationOutcome.CONFLICT);
--- a/src/main/java/routerfleet/control/ReplicaGroup.java
+++ b/src/main/java/routerfleet/control/ReplicaGroup.java
@@ -71,8 +71,8 @@
     private final RaftNode agreement;
     private final CommittedMessages committed;
     private final DeferredTasks deferred = new DeferredTasks();
-    private final OrderQueue orders;
-    private final EvacuationQueue evacuationOrders = new EvacuationQueue();
+    private final ConfigUpdateQueue orders;
+    private final PendingEvacuations evacuationOrders = new PendingEvacuations();
     private final LeaderQuestions questions = new LeaderQuestions();
     private final AppliedEntries applied = new AppliedEntries();
     private final AgreementTimer timer;
@@ -218,16 +218,16 @@
     }
 
     /** The orders that wait here. */
-    OrderQueue orders() {
+    ConfigUpdateQueue orders() {
         return orders;
     }
 
     /** Takes an order, as a leader. */
-    void order(ConfigOrder order, Consumer<OrderQueue.Answer> answer) {
+    void order(ConfigOrder order, Consumer<ConfigUpdateQueue.Result> answer) {
         if (!leads() || orders.isFull() || storage.isFull()) {
-            answer.accept(OrderQueue.Answer.unclear("no leader here that can take it"));
+            answer.accept(ConfigUpdateQueue.Result.unknown("no leader here that can take it"));
         } else if (!isLargeEnough()) {
-            answer.accept(OrderQueue.Answer.unclear("fewer than " + leastVoters + " replicas so far"));
+            answer.accept(ConfigUpdateQueue.Result.unknown("fewer than " + leastVoters + " replicas so far"));
         } else {
             orders.add(order, answer);
             settle();
@@ -237,7 +237,7 @@
     /** Proposes an order about an evacuation, as a leader. */
     void evacuate(EvacuationOrder order, Consumer<EvacuationOutcome> answer) {
         boolean may = leads() && isLargeEnough() && !evacuationOrders.isFull() && !storage.isFull();
-        evacuationOrders.await(may ? agreement.propose(scheduler.now(), codec.encode(order)) : 0, answer);
+        evacuationOrders.register(may ? agreement.propose(scheduler.now(), codec.encode(order)) : 0, answer);
         settle();
     }
 
@@ -299,7 +299,7 @@
     }
 
     /** What waiting orders need of this replica. */
-    private final class Leader implements OrderQueue.Leader {
+    private final class Leader implements ConfigUpdateQueue.Leader {
         @Override
         public void confirmLeadership(Runnable confirmed, Runnable lost) {
             ReplicaGroup.this.confirmLeadership(confirmed, lost);
@@ -426,7 +426,7 @@
         }
         long before = store.generation();
         Either<ConfigFault, Long> result = store.applyDecoded(order);
-        orders.decided(entry.index(), result);
+        orders.applied(entry.index(), result);
         if (store.generation() != before) {
             deferred.add(() -> surroundings.configurationChanged(store.generation()));
             deferred.add(() -> agreement.confirmLeadership(scheduler.now())); // its round tells the others at once
@@ -435,7 +435,7 @@
 
     private void applyEvacuation(Entry entry, EvacuationOrder order) {
         boolean taken = store.apply(order);
-        deferred.add(() -> evacuationOrders.decided(entry.index(), taken));
+        deferred.add(() -> evacuationOrders.applied(entry.index(), taken));
         if (taken) {
             deferred.add(() -> surroundings.evacuationsChanged(store.evacuations()));
             deferred.add(() -> agreement.confirmLeadership(scheduler.now()));
--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -97,8 +97,8 @@
     }
 
     /** The servers last known, on the same disk and written by the same thread. */
-    SessionHints sessionHints(PeerCodec codec) {
-        return new SessionHints(disk, writer, loop, codec);
+    SessionStorage sessionHints(PeerCodec codec) {
+        return new SessionStorage(disk, writer, loop, codec);
     }
 
     /** The journal of tallies, on the same disk and written by the same thread. */
--- a/src/main/java/routerfleet/control/SessionService.java
+++ b/src/main/java/routerfleet/control/SessionService.java
@@ -27,9 +27,9 @@
     private static final int BAD_REQUEST = 400;
 
     /** Where a promise has to be held. */
-    interface Copies {
+    interface ReplicationPolicy {
         /** Whether a promise that these control nodes hold outlives the losses to be borne. */
-        boolean suffice(Set<String> holders);
+        boolean isSufficient(Set<String> holders);
     }
 
     /** A record that waits to be on the disks of enough nodes, this one among them. */
@@ -45,7 +45,7 @@
     private final Scheduler scheduler;
     private final SessionTable table;
     private final ControlPeers peers;
-    private final Copies copies;
+    private final ReplicationPolicy copies;
     private final BooleanSupplier dataNodesPresent;
     private final Runnable changed;
     private final Consumer<Runnable> disk;
@@ -58,7 +58,7 @@
      * @param changed run when data nodes have to hear of something
      * @param disk keeps the table on disk, and runs what it is given once it is there
      */
-    SessionService(Scheduler scheduler, SessionTable table, ControlPeers peers, Copies copies,
+    SessionService(Scheduler scheduler, SessionTable table, ControlPeers peers, ReplicationPolicy copies,
             BooleanSupplier dataNodesPresent, Runnable changed, Consumer<Runnable> disk) {
         this.disk = disk;
         this.scheduler = scheduler;
@@ -91,7 +91,7 @@
     private void take(SessionRecord session, Consumer<ControlHttp.Response> answer) {
         merge(session);
         SessionRecord merged = table.find(session.uid());
-        boolean connected = copies.suffice(Set.copyOf(peers.connected()));
+        boolean connected = copies.isSufficient(Set.copyOf(peers.connected()));
         if (merged == null) {
             answer.accept(ControlHttp.Response.error(UNAVAILABLE, "too many sessions"));
         } else if (merged.phase() == SessionRecord.Phase.READY) {
@@ -139,14 +139,14 @@
     /** @param ip the control node that has it on disk, which may be this one */
     void acknowledged(long id, String ip) {
         Pending waiting = pending.get(id);
-        if (waiting != null && waiting.holders.add(ip) && copies.suffice(waiting.holders)) {
+        if (waiting != null && waiting.holders.add(ip) && copies.isSufficient(waiting.holders)) {
             pending.remove(id);
             waiting.answer.accept(ControlHttp.Response.ok());
         }
     }
 
     /** Another node's digest: where it differs, that node gets all records. */
-    void reconcile(String ip, long digest) {
+    void reconcileWith(String ip, long digest) {
         if (digest != table.digest()) {
             peers.send(ip, new PeerMessage.Sessions(0, table.records()));
         }
--- a/src/main/java/routerfleet/control/SessionHints.java
+++ b/src/main/java/routerfleet/control/SessionStorage.java
@@ -24,7 +24,7 @@
  * sessions as {@link SessionTable} holds, and {@value #MOST_WAITING} that wait for a write. For the node's thread but for
  * {@link #read}.
  */
-class SessionHints {
+class SessionStorage {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.storage");
     private static final int SLOTS = 2;
     private static final int CHECKSUM_BYTES = 4;
@@ -48,7 +48,7 @@
      * @param writer the thread on which the disk is written
      * @param loop the node's thread
      */
-    SessionHints(Disk disk, DiskWriter writer, Executor loop, PeerCodec codec) {
+    SessionStorage(Disk disk, DiskWriter writer, Executor loop, PeerCodec codec) {
         this.disk = disk;
         this.writer = writer;
         this.loop = loop;
@@ -85,12 +85,12 @@
     }
 
     /** @param current tells the servers to keep at the moment of a write */
-    void source(Supplier<List<SessionRecord>> current) {
+    void setSource(Supplier<List<SessionRecord>> current) {
         servers = current;
     }
 
     /** Writes the servers as they are now, unless they are at the phases that were written last. */
-    void refresh() {
+    void saveIfChanged() {
         if (!writing && !known(servers.get()).equals(written)) {
             begin();
         }
@@ -101,7 +101,7 @@
      *
      * @param kept run once they are on disk; not run where the disk refuses, or too many wait for it
      */
-    void keep(Runnable kept) {
+    void save(Runnable kept) {
         if (waiting.size() < MOST_WAITING) {
             waiting.add(kept);
         }
--- a/src/main/java/routerfleet/control/SessionTable.java
+++ b/src/main/java/routerfleet/control/SessionTable.java
@@ -15,10 +15,10 @@
  * any order: the highest sequence gives the details, the latest phase stays. A session that is silent for
  * {@value #SILENT_BEATS} heartbeats is told as not live, and forgotten {@value #KEEP_S} seconds after.
  *
- * <p>Bound: {@value #MOST_SESSIONS} sessions; more are not taken. Each change costs O(log sessions).
+ * <p>Bound: {@value #MAX_SESSIONS} sessions; more are not taken. Each change costs O(log sessions).
  */
 final class SessionTable {
-    static final int MOST_SESSIONS = 20_000;
+    static final int MAX_SESSIONS = 20_000;
     private static final double SILENT_BEATS = 3.2;
     private static final long KEEP_S = 45;
     /** Heartbeats that take more or less time on their way do not tell of another warm-up. */
@@ -62,7 +62,7 @@
     boolean merge(SessionRecord told, long nowNanos) {
         Entry entry = sessions.get(told.uid());
         if (entry == null) {
-            if (sessions.size() >= MOST_SESSIONS) {
+            if (sessions.size() >= MAX_SESSIONS) {
                 return false;
             }
             entry = new Entry(told);
@@ -144,7 +144,7 @@
     }
 
     /** Records of servers that are ready and have not fallen silent, and of those that drain or are gone. */
-    List<SessionRecord> lasting() {
+    List<SessionRecord> recordsToSave() {
         List<SessionRecord> records = new ArrayList<>();
         for (Entry entry : sessions.values()) {
             if (entry.live || entry.session.phase() != SessionRecord.Phase.READY) {
--- a/src/test/java/routerfleet/control/OrderExaminerTest.java
+++ b/src/test/java/routerfleet/control/ConfigUpdateValidatorTest.java
@@ -15,9 +15,9 @@
 import routerfleet.config.ConfigOrder;
 
 /** Documents that are merged beside the event loop. */
-class OrderExaminerTest {
+class ConfigUpdateValidatorTest {
     private final Deque<Runnable> worker = new ArrayDeque<>();
-    private final OrderExaminer examiner = new OrderExaminer(worker::add, Runnable::run);
+    private final ConfigUpdateValidator examiner = new ConfigUpdateValidator(worker::add, Runnable::run);
     private final List<String> told = new ArrayList<>();
 
     private static byte[] bytes(String text) {
--- a/src/test/java/routerfleet/control/ControlHttpTest.java
+++ b/src/test/java/routerfleet/control/ControlHttpTest.java
@@ -71,9 +71,9 @@
     @Test
     void aCallerThatHasGoneDoesNotWait() {
         receive(get("/one"));
-        assertThat(held.get(0).request().callerWaits().getAsBoolean(), is(true));
+        assertThat(held.get(0).request().callerConnected().getAsBoolean(), is(true));
         channel.close();
-        assertThat(held.get(0).request().callerWaits().getAsBoolean(), is(false));
+        assertThat(held.get(0).request().callerConnected().getAsBoolean(), is(false));
     }
 
     @Test
--- a/src/test/java/routerfleet/control/FaultyParts.java
+++ b/src/test/java/routerfleet/control/FaultyParts.java
@@ -66,12 +66,12 @@
     }
 
     @Override
-    OrderQueue orders(OrderQueue.Leader leader, ConfigStore store, Executor loop) {
+    ConfigUpdateQueue orders(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
         return fault == PlantedFault.REFUSED_UNCONFIRMED ? super.orders(new Unconfirmed(leader), store, loop)
                 : super.orders(leader, store, loop);
     }
 
-    private record Unconfirmed(OrderQueue.Leader leader) implements OrderQueue.Leader {
+    private record Unconfirmed(ConfigUpdateQueue.Leader leader) implements ConfigUpdateQueue.Leader {
         @Override
         public void confirmLeadership(Runnable confirmed, Runnable lost) {
             confirmed.run();
--- a/src/test/java/routerfleet/control/PlantedFault.java
+++ b/src/test/java/routerfleet/control/PlantedFault.java
@@ -139,12 +139,12 @@
             }
 
             @Override
-            SessionHints sessionHints(routerfleet.wire.PeerCodec codec) {
-                return new SessionHints(disk, writer, life, codec) {
+            SessionStorage sessionHints(routerfleet.wire.PeerCodec codec) {
+                return new SessionStorage(disk, writer, life, codec) {
                     @Override
-                    void keep(Runnable kept) {
+                    void save(Runnable kept) {
                         boolean early = PlantedFault.this == END_TOLD_BEFORE_SYNCED;
-                        super.keep(early ? () -> { } : kept);
+                        super.save(early ? () -> { } : kept);
                         if (early) {
                             life.execute(kept);
                         }
--- a/src/test/java/routerfleet/control/ReplicaGroupTest.java
+++ b/src/test/java/routerfleet/control/ReplicaGroupTest.java
@@ -52,14 +52,14 @@
                 1, surroundings, new ControlParts(0))).get();
     }
 
-    private OrderQueue.Outcome order(ReplicaGroup group, long base, String body) throws Exception {
-        OrderQueue.Outcome outcome;
+    private ConfigUpdateQueue.Outcome order(ReplicaGroup group, long base, String body) throws Exception {
+        ConfigUpdateQueue.Outcome outcome;
         do {
-            CompletableFuture<OrderQueue.Outcome> answer = new CompletableFuture<>();
+            CompletableFuture<ConfigUpdateQueue.Outcome> answer = new CompletableFuture<>();
             ConfigOrder order = new ConfigOrder(ConfigOrder.Kind.REPLACE, base, body.getBytes(StandardCharsets.UTF_8));
             loop.execute(() -> group.order(order, given -> answer.complete(given.outcome())));
             outcome = answer.get(WAIT_S, TimeUnit.SECONDS);
-        } while (outcome == OrderQueue.Outcome.UNCLEAR); // no leader yet
+        } while (outcome == ConfigUpdateQueue.Outcome.UNKNOWN); // no leader yet
         return outcome;
     }
 
@@ -84,10 +84,10 @@
         assertThat(loop.submit(group::leads).get(), is(false));
         assertThat(loop.submit(group::answersReads).get(), is(false));
         assertThat(loop.submit(group::generation).get(), is(0L));
-        CompletableFuture<OrderQueue.Outcome> answer = new CompletableFuture<>();
+        CompletableFuture<ConfigUpdateQueue.Outcome> answer = new CompletableFuture<>();
         loop.execute(() -> group.order(new ConfigOrder(ConfigOrder.Kind.REPLACE, 0,
                 Configurations.whole(2).getBytes(StandardCharsets.UTF_8)), given -> answer.complete(given.outcome())));
-        assertThat(answer.get(WAIT_S, TimeUnit.SECONDS), is(OrderQueue.Outcome.UNCLEAR));
+        assertThat(answer.get(WAIT_S, TimeUnit.SECONDS), is(ConfigUpdateQueue.Outcome.UNKNOWN));
     }
 
     /** Surroundings that hear nothing. */
@@ -137,8 +137,8 @@
                 // nobody waits for one
             }
         });
-        assertThat(order(group, 0, Configurations.whole(2)), is(OrderQueue.Outcome.TAKEN));
-        assertThat(order(group, 2, Configurations.whole(5)), is(OrderQueue.Outcome.TAKEN));
-        assertThat(order(group, 2, Configurations.whole(6)), is(OrderQueue.Outcome.CONFLICT));
+        assertThat(order(group, 0, Configurations.whole(2)), is(ConfigUpdateQueue.Outcome.ACCEPTED));
+        assertThat(order(group, 2, Configurations.whole(5)), is(ConfigUpdateQueue.Outcome.ACCEPTED));
+        assertThat(order(group, 2, Configurations.whole(6)), is(ConfigUpdateQueue.Outcome.CONFLICT));
     }
 }
--- a/src/test/java/routerfleet/control/SessionServiceTest.java
+++ b/src/test/java/routerfleet/control/SessionServiceTest.java
@@ -110,7 +110,7 @@
     /** Guards an acknowledgement that would rest on a table with no room for it. */
     @Test
     void whatAFullTableDoesNotTakeIsNotToldAsHeld() {
-        for (int i = 0; i < SessionTable.MOST_SESSIONS; i++) {
+        for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
             table.merge(server("s" + i, SessionRecord.Phase.READY), 0);
         }
         service.received(link, new PeerMessage.Sessions(7, List.of(server("a", SessionRecord.Phase.GONE))));
--- a/src/test/java/routerfleet/control/SessionHintsTest.java
+++ b/src/test/java/routerfleet/control/SessionStorageTest.java
@@ -15,12 +15,12 @@
 import routerfleet.wire.SessionRecord;
 
 /** The servers last known, on a disk that loses its power. */
-class SessionHintsTest {
+class SessionStorageTest {
     private final PeerCodec codec = new PeerCodec();
     private VirtualWorld world;
     private VirtualProcess process;
     private SimulatedDisk disk;
-    private SessionHints hints;
+    private SessionStorage hints;
     private List<SessionRecord> servers = List.of();
 
     @BeforeEach
@@ -32,8 +32,8 @@
 
     private void restart() {
         process = new VirtualProcess(world, 0, () -> disk.losePower());
-        hints = new SessionHints(disk, new SimulatedDisk.Writer(world, process), process, codec);
-        hints.source(() -> servers);
+        hints = new SessionStorage(disk, new SimulatedDisk.Writer(world, process), process, codec);
+        hints.setSource(() -> servers);
     }
 
     private static SessionRecord server(String uid) {
@@ -42,7 +42,7 @@
 
     private void write(SessionRecord... current) {
         servers = List.of(current);
-        hints.refresh();
+        hints.saveIfChanged();
         world.runUntilMs(world.nowMs() + 100);
     }
 
@@ -102,9 +102,9 @@
     void whatIsToldAsKeptIsOnDisk() {
         List<String> told = new ArrayList<>();
         servers = List.of(server("a"));
-        hints.keep(() -> told.add("a"));
+        hints.save(() -> told.add("a"));
         servers = List.of(server("a"), server("b"));
-        hints.keep(() -> told.add("b"));
+        hints.save(() -> told.add("b"));
         assertThat(told, is(empty()));
         world.runUntilMs(world.nowMs() + 3);
         assertThat(told, is(List.of("a")));
@@ -121,11 +121,11 @@
         write(server("a"));
         disk.full(true);
         servers = List.of(server("b"));
-        hints.keep(() -> told.add("b"));
+        hints.save(() -> told.add("b"));
         world.runUntilMs(world.nowMs() + 100);
         assertThat(told, is(empty()));
         disk.full(false);
-        hints.keep(() -> told.add("again"));
+        hints.save(() -> told.add("again"));
         world.runUntilMs(world.nowMs() + 100);
         assertThat(told, is(List.of("again")));
     }
--- a/src/test/java/routerfleet/control/SimulatedMachine.java
+++ b/src/test/java/routerfleet/control/SimulatedMachine.java
@@ -94,11 +94,11 @@
         life.execute(() -> {
             try {
                 started.load(() -> draws.nextLong() >>> 2);
-                started.begin();
+                started.start();
                 started.listenToPeers().accept();
                 PeerNetwork.Listener dataNodes = started.listenToDataNodes();
                 service = started;
-                started.whenSettled(() -> {
+                started.runOnceLeaderKnown(() -> {
                     dataNodes.accept();
                     handler = intercepting.apply(surroundings.fault().handler(started::handle));
                 });
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -81,7 +81,7 @@
         life.execute(() -> {
             try {
                 started.load(() -> random.nextLong() >>> 2);
-                started.begin();
+                started.start();
                 started.listenToPeers().accept();
             } catch (IOException e) {
                 throw new AssertionError(e);
