--- a/src/main/java/rowanplank/decision/Decisions.java
+++ b/src/main/java/rowanplank/decision/DecisionDriver.java
@@ -21,12 +21,12 @@
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.balancer.BalancerApi.Settings;
 import rowanplank.config.SiteSettings;
-import rowanplank.exchange.Answer;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Exchange;
-import rowanplank.exchange.Exchanges;
-import rowanplank.exchange.Onlooker;
+import rowanplank.exchange.RequestHandler;
+import rowanplank.exchange.RequestObserver;
 import rowanplank.exchange.RequestContext;
-import rowanplank.exchange.TrySender;
+import rowanplank.exchange.AttemptSender;
 import rowanplank.metrics.Counters.Count;
 import rowanplank.metrics.Counters;
 import rowanplank.metrics.RateLimitedLog;
@@ -37,20 +37,20 @@
  * Drives the decision module: tells it what happens, in order and never from within one of its own actions, and
  * carries out what it asks for. Everything here runs on the event loop's thread.
  */
-public final class Decisions implements Exchanges, Exchange.Listener {
+public final class DecisionDriver implements RequestHandler, Exchange.Listener {
     /** When a client of a node that stops may ask another one: as soon as its front has seen it go. */
-    private static final Duration RETRY_ELSEWHERE = Duration.ofMillis(100);
+    private static final Duration STOPPING_RETRY_AFTER = Duration.ofMillis(100);
 
     /** Makes a decision module: another one can stand in for {@link Balancer}, to be measured against it. */
-    public interface Module extends Onlooker {
+    public interface ModuleFactory extends RequestObserver {
         Events create(Settings settings, long seed, Actions actions);
     }
 
     /** An upload's answer is given up so long before its client does: the module still has to answer. */
-    private static final Duration LAST_ANSWER = Duration.ofMillis(20);
+    private static final Duration UPLOAD_RESPONSE_MARGIN = Duration.ofMillis(20);
 
     /** A request that the module knows of. */
-    private static final class Entry {
+    private static final class OpenRequest {
         final Exchange exchange;
         Loop.Timer guard;
         int sends;
@@ -59,7 +59,7 @@
         /** Whether a large answer is still on its way to the client: until then its id stays taken. */
         boolean transferring;
 
-        Entry(Exchange exchange) {
+        OpenRequest(Exchange exchange) {
             this.exchange = exchange;
         }
     }
@@ -69,198 +69,198 @@
     private final Clock clock;
     private final Counters counters;
     private final RateLimitedLog log;
-    private final Onlooker onlooker;
+    private final RequestObserver observer;
     private final Events balancer;
     /** So long past its deadline a request is answered here: well inside of what the rules grant. */
-    private final Duration guardSlack;
+    private final Duration deadlineSlack;
     /** In the order of their taking: what is done to all of them is the same in every process. */
-    private final Map<Long, Entry> entries = new LinkedHashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
     /** The clients' names of the entries' requests. */
-    private final Set<String> ids = new LinkedHashSet<>();
+    private final Set<String> openIds = new LinkedHashSet<>();
     private final Queue<Runnable> events = new ArrayDeque<>();
     private boolean delivering;
     /** All that was open has been answered: nothing is sent on any more. */
     private boolean stopping;
-    private TrySender sender;
-    private Places places = Places.NONE;
-    private Bounds bounds = Bounds.NONE;
-    private long requests;
+    private AttemptSender sender;
+    private ServerSlots slots = ServerSlots.NONE;
+    private FleetLimits fleetLimits = FleetLimits.NONE;
+    private long lastNumber;
 
-    public Decisions(SiteSettings site, long seed, Loop loop, Counters counters, RateLimitedLog log) {
+    public DecisionDriver(SiteSettings site, long seed, Loop loop, Counters counters, RateLimitedLog log) {
         this(site, seed, loop, counters, log, Balancer::new);
     }
 
-    public Decisions(SiteSettings site, long seed, Loop loop, Counters counters, RateLimitedLog log, Module module) {
+    public DecisionDriver(SiteSettings site, long seed, Loop loop, Counters counters, RateLimitedLog log, ModuleFactory module) {
         this.site = site;
         this.loop = loop;
         clock = loop.clock();
         this.counters = counters;
         this.log = log;
-        guardSlack = site.answerSlack().dividedBy(2);
-        onlooker = module;
+        deadlineSlack = site.answerSlack().dividedBy(2);
+        observer = module;
         balancer = module.create(site.module(), seed, new ModuleActions());
     }
 
     /** To be called before the first list of peers, where tries at them are bounded for the whole fleet. */
-    public void bound(Places bound, Bounds more) {
-        bounds = more;
-        places = bound;
-        places.usable(() -> deliver(() -> balancer.onServers(nowMs(), ListKind.DELTA, List.of())));
+    public void useFleetLimits(ServerSlots bound, FleetLimits more) {
+        fleetLimits = more;
+        slots = bound;
+        slots.onSlotsAvailable(() -> deliver(() -> balancer.onServers(nowMs(), ListKind.DELTA, List.of())));
     }
 
     /** To be called once, before the first request. */
-    public void sendThrough(TrySender sender) {
+    public void setSender(AttemptSender sender) {
         this.sender = sender;
     }
 
     /** Tells the module of the peers. */
-    public void servers(ListKind kind, List<Server> servers) {
+    public void updateServers(ListKind kind, List<Server> servers) {
         if (kind != ListKind.FAILED) {
-            places.servers(servers, kind != ListKind.DELTA, site.module());
+            slots.updateServers(servers, kind != ListKind.DELTA, site.module());
         }
         deliver(() -> balancer.onServers(nowMs(), kind, servers));
     }
 
     @Override
     public Exchange open(RequestContext context, Exchange.Client client) {
-        long number = ++requests;
+        long number = ++lastNumber;
         Exchange exchange = new Exchange(number, context, client, this);
         if (stopping) {
             counters.add(Count.REQUESTS_TAKEN);
             counters.add(Count.ANSWERS_REJECTED);
-            exchange.answer(unserved(exchange));
+            exchange.respond(unservedResponse(exchange));
             return exchange;
         }
-        Entry entry = new Entry(exchange);
-        entries.put(number, entry);
-        ids.add(context.id());
+        OpenRequest entry = new OpenRequest(exchange);
+        openRequests.put(number, entry);
+        openIds.add(context.id());
         counters.add(Count.REQUESTS_TAKEN);
-        entry.guard = loop.schedule(untilOverdue(context), () -> overdue(entry));
-        onlooker.taken(number, context);
+        entry.guard = loop.schedule(deadlineTimerDelay(context), () -> onOverdue(entry));
+        observer.requestAccepted(number, context);
         deliver(() -> balancer.onRequest(nowMs(), new Request(number, context.classIndex(), context.tenant(),
-                context.key(), Clock.millis(context.deadline()), 0, context.repeat())));
+                context.key(), Clock.millis(context.deadline()), 0, context.clientRetry())));
         return exchange;
     }
 
     @Override
     public boolean isOpen(String id) {
-        return ids.contains(id);
+        return openIds.contains(id);
     }
 
-    private Duration untilOverdue(RequestContext context) {
-        return Duration.between(clock.now(), context.deadline()).plus(guardSlack);
+    private Duration deadlineTimerDelay(RequestContext context) {
+        return Duration.between(clock.now(), context.deadline()).plus(deadlineSlack);
     }
 
     @Override
-    public void uploaded(Exchange exchange) {
-        Entry entry = entries.get(exchange.number());
+    public void uploadFinished(Exchange exchange) {
+        OpenRequest entry = openRequests.get(exchange.number());
         Duration left = Duration.between(clock.now(), exchange.deadline());
         entry.guard.cancel();
-        entry.guard = loop.schedule(left.plus(guardSlack), () -> overdue(entry));
-        if (exchange.outstanding() != null) {
-            sender.limit(exchange.outstanding(), left.minus(LAST_ANSWER));
+        entry.guard = loop.schedule(left.plus(deadlineSlack), () -> onOverdue(entry));
+        if (exchange.pendingAttempt() != null) {
+            sender.limitTime(exchange.pendingAttempt(), left.minus(UPLOAD_RESPONSE_MARGIN));
         }
     }
 
     /** Guards the deadline should the module let it pass: an answer is owed whatever it does. */
-    private void overdue(Entry entry) {
+    private void onOverdue(OpenRequest entry) {
         if (!entry.exchange.ended()) {
             counters.add(Count.ANSWERS_OVERDUE);
             log.warn("request " + entry.exchange.context().id() + " was left unanswered by the module");
-            abandon(entry, new Answer.Failed());
+            abandon(entry, new Response.Failed());
         }
     }
 
     /** Answers all that is open, and refuses at once whatever still comes, for a node that must stop now. */
-    public void answerAll() {
+    public void stop() {
         stopping = true;
-        new ArrayList<>(entries.values()).forEach(e -> abandon(e, unserved(e.exchange)));
+        new ArrayList<>(openRequests.values()).forEach(e -> abandon(e, unservedResponse(e.exchange)));
     }
 
     /** A refusal says that asking again does no harm: it would, where what may have run must not run twice. */
-    private Answer unserved(Exchange exchange) {
-        return type(exchange).mayBeRefused(exchange.mayHaveRun()) ? new Answer.Rejected(site.retryAfter(RETRY_ELSEWHERE)) : new Answer.Failed();
+    private Response unservedResponse(Exchange exchange) {
+        return requestClass(exchange).mayBeRefused(exchange.mayHaveRun()) ? new Response.Rejected(site.retryAfter(STOPPING_RETRY_AFTER)) : new Response.Failed();
     }
 
-    private RequestClass type(Exchange exchange) {
+    private RequestClass requestClass(Exchange exchange) {
         return site.module().classes().get(exchange.context().classIndex());
     }
 
     /** Servers drop repeats for so long only, and a repeat's connection may take its time to come up. */
-    private Instant startBy(Exchange exchange) {
-        RequestClass type = type(exchange);
+    private Instant startDeadline(Exchange exchange) {
+        RequestClass type = requestClass(exchange);
         return exchange.mayHaveRunSince() == null || type.effect() != Effect.BY_KEY ? exchange.deadline()
                 : exchange.mayHaveRunSince().plus(Clock.span(type.repeatWithinMs()));
     }
 
-    private void abandon(Entry entry, Answer answer) {
+    private void abandon(OpenRequest entry, Response answer) {
         long number = entry.exchange.number();
-        if (conclude(entry, answer)) {
+        if (respond(entry, answer)) {
             deliver(() -> balancer.onDeparture(nowMs(), number));
         }
     }
 
     public int openCount() {
-        return entries.size();
+        return openRequests.size();
     }
 
     /** To the module, the request ends here: what a server can do is measured by its first bytes. */
     @Override
-    public void tryBegun(Exchange.Try attempt, Answer.Begun begun, Instant at) {
-        counters.add(counted(Outcome.OK));
+    public void responseStarted(Exchange.Attempt attempt, Response.Streamed begun, Instant at) {
+        counters.add(counterOf(Outcome.OK));
         counters.add(Count.TRANSFERS);
-        places.end(attempt.peer(), true);
-        double latency = Clock.millis(Duration.between(attempt.started(), at));
+        slots.release(attempt.server(), true);
+        double latency = Clock.millis(Duration.between(attempt.startedAt(), at));
         deliver(() -> {
             Exchange exchange = attempt.exchange();
-            Entry entry = entries.get(exchange.number());
+            OpenRequest entry = openRequests.get(exchange.number());
             entry.transferring = true;
-            if (!conclude(entry, begun)) {
+            if (!respond(entry, begun)) {
                 begun.body().abandon();
-            } else if (!type(exchange).streaming()) {
-                sender.expectEnd(attempt, Duration.between(clock.now(), exchange.deadline()));
+            } else if (!requestClass(exchange).streaming()) {
+                sender.expectCompletion(attempt, Duration.between(clock.now(), exchange.deadline()));
             }
             entry.untold--;
             balancer.onOutcome(nowMs(), exchange.number(), attempt.number(), Outcome.OK, latency, exchange.ended());
-            forget(entry);
+            removeIfFinished(entry);
         });
     }
 
-    private void transferEnded(Exchange.Try attempt, Outcome outcome) {
+    private void transferEnded(Exchange.Attempt attempt, Outcome outcome) {
         if (outcome != Outcome.OK) {
             counters.add(Count.TRANSFERS_BROKEN);
         }
-        Entry entry = entries.get(attempt.exchange().number());
+        OpenRequest entry = openRequests.get(attempt.exchange().number());
         if (entry != null) {
             entry.transferring = false;
-            forget(entry);
+            removeIfFinished(entry);
         }
     }
 
     @Override
-    public void tryEnded(Exchange.Try attempt, Outcome outcome, Answer.Served served) {
-        if (attempt.begun()) {
+    public void attemptEnded(Exchange.Attempt attempt, Outcome outcome, Response.Served served) {
+        if (attempt.hasResponseStarted()) {
             deliver(() -> transferEnded(attempt, outcome));
             return;
         }
-        counters.add(counted(outcome));
-        places.end(attempt.peer(), outcome != Outcome.TIMEOUT && outcome != Outcome.CANCELLED);
-        double latency = Clock.millis(Duration.between(attempt.started(), clock.now()));
+        counters.add(counterOf(outcome));
+        slots.release(attempt.server(), outcome != Outcome.TIMEOUT && outcome != Outcome.CANCELLED);
+        double latency = Clock.millis(Duration.between(attempt.startedAt(), clock.now()));
         deliver(() -> {
             Exchange exchange = attempt.exchange();
-            Entry entry = entries.get(exchange.number());
+            OpenRequest entry = openRequests.get(exchange.number());
             if (outcome == Outcome.OK) {
-                conclude(entry, served);
-            } else if (!exchange.context().payload().isWhole()) {
-                conclude(entry, unserved(exchange)); // what has gone on of its body can't be sent again
+                respond(entry, served);
+            } else if (!exchange.context().payload().isReplayable()) {
+                respond(entry, unservedResponse(exchange)); // what has gone on of its body can't be sent again
             }
             entry.untold--;
             balancer.onOutcome(nowMs(), exchange.number(), attempt.number(), outcome, latency, exchange.ended());
-            forget(entry);
+            removeIfFinished(entry);
         });
     }
 
-    private static Count counted(Outcome outcome) {
+    private static Count counterOf(Outcome outcome) {
         return switch (outcome) {
             case OK -> Count.TRIES_OK;
             case ERROR -> Count.TRIES_ERROR;
@@ -274,34 +274,34 @@
     }
 
     @Override
-    public void departed(Exchange exchange) {
+    public void clientLeft(Exchange exchange) {
         counters.add(Count.CLIENTS_DEPARTED);
         deliver(() -> {
-            giveUpUnsent(exchange);
+            cancelUnsent(exchange);
             balancer.onDeparture(nowMs(), exchange.number());
-            Entry entry = entries.get(exchange.number());
+            OpenRequest entry = openRequests.get(exchange.number());
             if (entry != null) {
-                forget(entry);
+                removeIfFinished(entry);
             }
         });
     }
 
     /** Nobody waits any more for a try whose connection has not come up; no module has to allow that it is given up. */
-    private void giveUpUnsent(Exchange exchange) {
-        Exchange.Try attempt = exchange.outstanding();
-        if (attempt != null && !attempt.hasGoneOut()) {
+    private void cancelUnsent(Exchange exchange) {
+        Exchange.Attempt attempt = exchange.pendingAttempt();
+        if (attempt != null && !attempt.hasSendStarted()) {
             sender.cancel(attempt);
         }
     }
 
-    private boolean conclude(Entry entry, Answer answer) {
-        boolean first = entry.exchange.answer(answer);
+    private boolean respond(OpenRequest entry, Response answer) {
+        boolean first = entry.exchange.respond(answer);
         if (first) {
-            giveUpUnsent(entry.exchange);
-            counters.add(answer instanceof Answer.Served || answer instanceof Answer.Begun ? Count.ANSWERS_SERVED
-                    : answer instanceof Answer.Rejected ? Count.ANSWERS_REJECTED : Count.ANSWERS_FAILED);
+            cancelUnsent(entry.exchange);
+            counters.add(answer instanceof Response.Served || answer instanceof Response.Streamed ? Count.ANSWERS_SERVED
+                    : answer instanceof Response.Rejected ? Count.ANSWERS_REJECTED : Count.ANSWERS_FAILED);
         }
-        forget(entry);
+        removeIfFinished(entry);
         return first;
     }
 
@@ -309,12 +309,12 @@
      * Guards against places at peers that are never given back: a try may have ended while its outcome still waits to
      * be told, as when a client leaves and the module withdraws its try.
      */
-    private void forget(Entry entry) {
+    private void removeIfFinished(OpenRequest entry) {
         if (entry.exchange.ended()) {
             entry.guard.cancel();
             if (entry.untold == 0 && !entry.transferring) {
-                entries.remove(entry.exchange.number());
-                ids.remove(entry.exchange.context().id());
+                openRequests.remove(entry.exchange.number());
+                openIds.remove(entry.exchange.context().id());
             }
         }
     }
@@ -344,26 +344,26 @@
         }
     }
 
-    private double worth(Entry entry) {
-        return type(entry.exchange).worth();
+    private double worth(OpenRequest entry) {
+        return requestClass(entry.exchange).worth();
     }
 
     private final class ModuleActions implements Actions {
         @Override
         public void send(long request, long server, double timeoutMs) {
-            Entry entry = entries.get(request);
+            OpenRequest entry = openRequests.get(request);
             if (entry == null) {
                 return;
             }
             int number = entry.sends++;
             Instant now = clock.now();
-            boolean begun = entry.exchange.isWanted() && number < site.module().limits().maxAttempts()
-                    && entry.exchange.context().payload().isWhole()
-                    && (number == 0 || bounds.tryAgain()) && places.begin(server, worth(entry));
-            Exchange.Try attempt = begun ? entry.exchange.begin(number, server, now, now.plus(Clock.span(timeoutMs)),
-                    startBy(entry.exchange)) : null;
+            boolean begun = entry.exchange.isResponseWanted() && number < site.module().limits().maxAttempts()
+                    && entry.exchange.context().payload().isReplayable()
+                    && (number == 0 || fleetLimits.tryAcquireRetry()) && slots.tryAcquire(server, worth(entry));
+            Exchange.Attempt attempt = begun ? entry.exchange.beginAttempt(number, server, now, now.plus(Clock.span(timeoutMs)),
+                    startDeadline(entry.exchange)) : null;
             if (begun && attempt == null) {
-                places.end(server, true);
+                slots.release(server, true);
             }
             if (attempt == null) {
                 deliver(() -> balancer.onOutcome(nowMs(), request, number, Outcome.MOOT, 0, entry.exchange.ended()));
@@ -371,10 +371,10 @@
             }
             counters.add(Count.TRIES_SENT);
             if (number == 0) {
-                bounds.firstTry();
+                fleetLimits.recordFirstAttempt();
             }
             entry.untold++;
-            if (entry.exchange.context().payload().isComing()) {
+            if (entry.exchange.context().payload().isUploading()) {
                 deliver(() -> balancer.onStreamStarted(nowMs(), request, number));
             }
             sender.send(attempt);
@@ -382,25 +382,25 @@
 
         @Override
         public void refuse(long request, double retryAfterMs) {
-            answer(request, new Answer.Rejected(site.retryAfter(Clock.span(retryAfterMs))));
+            answer(request, new Response.Rejected(site.retryAfter(Clock.span(retryAfterMs))));
         }
 
         @Override
         public void fail(long request) {
-            answer(request, new Answer.Failed());
+            answer(request, new Response.Failed());
         }
 
-        private void answer(long request, Answer answer) {
-            Entry entry = entries.get(request);
+        private void answer(long request, Response answer) {
+            OpenRequest entry = openRequests.get(request);
             if (entry != null) {
-                conclude(entry, answer);
+                respond(entry, answer);
             }
         }
 
         @Override
         public void cancel(long request, int number) {
-            Entry entry = entries.get(request);
-            Exchange.Try attempt = entry == null ? null : entry.exchange.outstanding();
+            OpenRequest entry = openRequests.get(request);
+            Exchange.Attempt attempt = entry == null ? null : entry.exchange.pendingAttempt();
             if (attempt != null && attempt.number() == number) {
                 sender.cancel(attempt);
             }
@@ -413,12 +413,12 @@
 
         @Override
         public double places(long server) {
-            return places.at(server);
+            return slots.limit(server);
         }
 
         @Override
         public boolean mayTryAgain() {
-            return bounds.mayTryAgain();
+            return fleetLimits.mayRetry();
         }
 
         @Override
--- a/src/main/java/rowanplank/decision/Bounds.java
+++ b/src/main/java/rowanplank/decision/FleetLimits.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /** What this node may do of what the fleet bounds as a whole. Each question is answered at once, at constant cost. */
-public interface Bounds {
+public interface FleetLimits {
     /** Nothing is bounded. */
-    Bounds NONE = new Bounds() { };
+    FleetLimits NONE = new FleetLimits() { };
 
     /** A request's first try goes out. */
-    default void firstTry() { }
+    default void recordFirstAttempt() { }
 
     /** Whether a try beyond a request's first could begin now; where not, that counts as refused. */
-    default boolean mayTryAgain() {
+    default boolean mayRetry() {
         return true;
     }
 
     /** Whether a try beyond a request's first begins now. */
-    default boolean tryAgain() {
+    default boolean tryAcquireRetry() {
         return true;
     }
 
     /** Zero where discovery is called now; else when to ask again. */
-    default Duration call() {
+    default Duration tryAcquireDiscoveryCall() {
         return Duration.ZERO;
     }
 }
--- a/src/main/java/rowanplank/discovery/DiscoveryWatch.java
+++ b/src/main/java/rowanplank/discovery/DiscoveryWatch.java
@@ -14,7 +14,7 @@
 import rowanplank.config.ConfigException;
 import rowanplank.config.HostList;
 import rowanplank.config.SiteSettings;
-import rowanplank.decision.Bounds;
+import rowanplank.decision.FleetLimits;
 import rowanplank.http.Messages;
 import rowanplank.http.ResponseReader;
 import rowanplank.metrics.Counters.Count;
@@ -49,7 +49,7 @@
     private final RateLimitedLog log;
     private final Listener listener;
     private final AskingPace pace;
-    private Bounds bounds = Bounds.NONE;
+    private FleetLimits bounds = FleetLimits.NONE;
     private long revision;
     private boolean heard;
     private boolean stopped;
@@ -83,13 +83,13 @@
     }
 
     /** What bounds its calls; to be told before the start. */
-    public void bound(Bounds by) {
+    public void bound(FleetLimits by) {
         bounds = by;
     }
 
     /** Begins to watch, on the loop's thread, until it is stopped. */
     public void start() {
-        Duration later = bounds.call();
+        Duration later = bounds.tryAcquireDiscoveryCall();
         if (!later.isZero()) {
             next = loop.schedule(later, this::start);
             return;
@@ -187,7 +187,7 @@
 
         /** Once more on this connection, which is kept meanwhile. */
         private void askAgain() {
-            Duration later = bounds.call();
+            Duration later = bounds.tryAcquireDiscoveryCall();
             if (later.isZero()) {
                 begun = loop.clock().now();
                 ask();
--- a/src/main/java/rowanplank/exchange/Exchange.java
+++ b/src/main/java/rowanplank/exchange/Exchange.java
@@ -11,10 +11,10 @@
 public final class Exchange {
     /** The client's side: it is handed the final answer. */
     public interface Client {
-        void answer(Answer answer);
+        void respond(Response answer);
 
         /** Whether the client still waits, as far as can be known at this moment. */
-        default boolean isThere() {
+        default boolean isConnected() {
             return true;
         }
     }
@@ -25,78 +25,78 @@
          * @param served what the peer answered where the outcome is OK, else null; also null where the answer had begun
          *     before
          */
-        void tryEnded(Try attempt, Outcome outcome, Answer.Served served);
+        void attemptEnded(Attempt attempt, Outcome outcome, Response.Served served);
 
         /** A large answer has begun to come; the try ends with its last byte. @param at when its head had come */
-        default void tryBegun(Try attempt, Answer.Begun begun, Instant at) { }
+        default void responseStarted(Attempt attempt, Response.Streamed begun, Instant at) { }
 
         /** The last byte of an upload has come: its deadline counts from here. */
-        default void uploaded(Exchange exchange) { }
+        default void uploadFinished(Exchange exchange) { }
 
         /** The client has left; nothing is owed any more. */
-        void departed(Exchange exchange);
+        void clientLeft(Exchange exchange);
     }
 
     /** One attempt to have the request served by a peer. */
-    public final class Try {
+    public final class Attempt {
         private final int number;
-        private final long peer;
-        private final Instant until;
-        private final Instant startBy;
-        private Instant started;
-        private boolean goneOut;
-        private boolean begun;
+        private final long server;
+        private final Instant timeoutAt;
+        private final Instant startDeadline;
+        private Instant startedAt;
+        private boolean sendStarted;
+        private boolean responseStarted;
         private boolean ended;
 
-        private Try(int number, long peer, Instant started, Instant until, Instant startBy) {
+        private Attempt(int number, long peer, Instant started, Instant until, Instant startBy) {
             this.number = number;
-            this.peer = peer;
-            this.started = started;
-            this.until = until;
-            this.startBy = startBy;
+            this.server = peer;
+            this.startedAt = started;
+            this.timeoutAt = until;
+            this.startDeadline = startBy;
         }
 
         /** Tells the outcome; only the first one counts, since a try may fail in more than one place. */
-        public void end(Outcome outcome, Answer.Served served) {
+        public void end(Outcome outcome, Response.Served served) {
             if (ended) {
                 return;
             }
             ended = true;
-            outstanding = null;
+            pendingAttempt = null;
             if (mayHaveRunSince == null && !outcome.neverRan()) {
-                mayHaveRunSince = started;
+                mayHaveRunSince = startedAt;
             }
-            listener.tryEnded(this, outcome, served);
+            listener.attemptEnded(this, outcome, served);
         }
 
         /** The first part of a large answer has come: there is no time-out and no other try any more. */
-        public void begin(Answer.Begun answer, Instant at) {
-            begun = true;
-            listener.tryBegun(this, answer, at);
+        public void responseStarted(Response.Streamed answer, Instant at) {
+            responseStarted = true;
+            listener.responseStarted(this, answer, at);
         }
 
-        public boolean begun() {
-            return begun;
+        public boolean hasResponseStarted() {
+            return responseStarted;
         }
 
         /** Whether its first byte may be written now: its connection may have come up too late, or for nobody. */
-        public boolean mayGoOut(Instant now) {
-            return !ended && !Exchange.this.ended && now.isBefore(startBy()) && now.isBefore(until());
+        public boolean maySend(Instant now) {
+            return !ended && !Exchange.this.ended && now.isBefore(startDeadline()) && now.isBefore(timeoutAt());
         }
 
         /** Its first byte is being written. */
-        public void goesOut() {
-            goneOut = true;
+        public void sendStarted() {
+            sendStarted = true;
         }
 
         /** Whether something of it was written; before that it surely has not run. */
-        public boolean hasGoneOut() {
-            return goneOut;
+        public boolean hasSendStarted() {
+            return sendStarted;
         }
 
         /** The request's last byte has gone out: only from now on can the peer's time be told. */
-        public void sent(Instant now) {
-            started = now;
+        public void sendFinished(Instant now) {
+            startedAt = now;
         }
 
         public boolean ended() {
@@ -111,23 +111,23 @@
             return number;
         }
 
-        public long peer() {
-            return peer;
+        public long server() {
+            return server;
         }
 
         /** Since when the peer has had the request: since its sending began, or, of a large one, ended. */
-        public Instant started() {
-            return started;
+        public Instant startedAt() {
+            return startedAt;
         }
 
         /** No answer is waited for beyond this, the time it takes to connect included. */
-        public Instant until() {
-            return until.isBefore(deadline) ? until : deadline;
+        public Instant timeoutAt() {
+            return timeoutAt.isBefore(deadline) ? timeoutAt : deadline;
         }
 
         /** Its first byte must have been written before this. */
-        public Instant startBy() {
-            return startBy;
+        public Instant startDeadline() {
+            return startDeadline;
         }
     }
 
@@ -136,7 +136,7 @@
     private final Client client;
     private final Listener listener;
     private Instant deadline;
-    private Try outstanding;
+    private Attempt pendingAttempt;
     /** When the first try began that may have run; null as long as none may have. */
     private Instant mayHaveRunSince;
     private boolean ended;
@@ -156,34 +156,34 @@
      * @param number which of the request's tries this is, from 0
      * @return null if none may go out: the request has ended, or another try is still out
      */
-    public Try begin(int number, long peer, Instant now, Instant until) {
-        return begin(number, peer, now, until, until);
+    public Attempt beginAttempt(int number, long peer, Instant now, Instant until) {
+        return beginAttempt(number, peer, now, until, until);
     }
 
     /** The same. @param startBy its first byte may be written before this only */
-    public Try begin(int number, long peer, Instant now, Instant until, Instant startBy) {
-        if (ended || outstanding != null) {
+    public Attempt beginAttempt(int number, long peer, Instant now, Instant until, Instant startBy) {
+        if (ended || pendingAttempt != null) {
             return null;
         }
-        outstanding = new Try(number, peer, now, until, startBy);
-        return outstanding;
+        pendingAttempt = new Attempt(number, peer, now, until, startBy);
+        return pendingAttempt;
     }
 
     /** @return whether this became the final answer: false if the request had ended before */
-    public boolean answer(Answer answer) {
+    public boolean respond(Response answer) {
         if (ended) {
             return false;
         }
         ended = true;
-        client.answer(answer);
+        client.respond(answer);
         return true;
     }
 
     /** The client has gone away; no answer is given any more. */
-    public void depart() {
+    public void clientLeft() {
         if (!ended) {
             ended = true;
-            listener.departed(this);
+            listener.clientLeft(this);
         }
     }
 
@@ -191,18 +191,18 @@
      * Whether an answer is still wanted. To be asked before a request is sent: looks for a client's end that has come
      * in but was not yet read, and takes that for the departure it is.
      */
-    public boolean isWanted() {
-        if (!ended && !client.isThere()) {
-            depart();
+    public boolean isResponseWanted() {
+        if (!ended && !client.isConnected()) {
+            clientLeft();
         }
         return !ended;
     }
 
     /** The last byte of an upload has come. */
-    public void uploaded(Instant now) {
+    public void uploadFinished(Instant now) {
         if (!ended) {
-            deadline = now.plus(context.payload().upload().patience());
-            listener.uploaded(this);
+            deadline = now.plus(context.payload().upload().responseTimeout());
+            listener.uploadFinished(this);
         }
     }
 
@@ -215,8 +215,8 @@
         return ended;
     }
 
-    public Try outstanding() {
-        return outstanding;
+    public Attempt pendingAttempt() {
+        return pendingAttempt;
     }
 
     /** When the first of the tries that have ended began that may have run; null if none of them may have. */
@@ -226,7 +226,7 @@
 
     /** Whether a server may have begun with the request, be it by a try that is still out. */
     public boolean mayHaveRun() {
-        return mayHaveRunSince != null || outstanding != null && outstanding.hasGoneOut();
+        return mayHaveRunSince != null || pendingAttempt != null && pendingAttempt.hasSendStarted();
     }
 
     public long number() {
--- a/src/main/java/rowanplank/exchange/RequestContext.java
+++ b/src/main/java/rowanplank/exchange/RequestContext.java
@@ -11,11 +11,11 @@
  * @param classIndex its class, by its place in the settings
  * @param tenant whose request it is, by the tenant's place in the settings; beyond them for one that they don't name
  * @param key requests with equal keys concern the same thing; 0 means none
- * @param repeat the client says that it has asked before
+ * @param clientRetry the client says that it has asked before
  * @param deadline the client stops waiting then; of an upload that is still coming, the latest that this can be
  * @param payload what is passed on to a peer without change
  */
-public record RequestContext(String id, int classIndex, int tenant, long key, boolean repeat, Instant arrived,
+public record RequestContext(String id, int classIndex, int tenant, long key, boolean clientRetry, Instant arrivedAt,
         Instant deadline, Payload payload) {
     /** At a site without tenants, of a request that names no key. */
     public RequestContext(String id, int classIndex, boolean repeat, Instant arrived, Instant deadline, Payload payload) {
@@ -38,13 +38,13 @@
         }
 
         /** Whether it can still be sent from its start. */
-        public boolean isWhole() {
-            return upload == null || !upload.rest().isTouched();
+        public boolean isReplayable() {
+            return upload == null || !upload.remainder().hasReadStarted();
         }
 
         /** Whether its client is still sending it. */
-        public boolean isComing() {
-            return upload != null && !upload.rest().hasEnded();
+        public boolean isUploading() {
+            return upload != null && !upload.remainder().isFullyReceived();
         }
     }
 
@@ -52,7 +52,7 @@
      * The rest of a body that is sent on as it comes.
      *
      * @param length of the whole body, in bytes; -1 where the client does not tell it
-     * @param patience how long the client waits, once its last byte has been sent
+     * @param responseTimeout how long the client waits, once its last byte has been sent
      */
-    public record Upload(long length, Duration patience, Transfer rest) { }
+    public record Upload(long length, Duration responseTimeout, Transfer remainder) { }
 }
--- a/src/main/java/rowanplank/exchange/Exchanges.java
+++ b/src/main/java/rowanplank/exchange/RequestHandler.java
@@ -1,7 +1,7 @@
 package rowanplank.exchange;
 
 /** Where a front brings its requests: the same decisions and rules for each of them. */
-public interface Exchanges {
+public interface RequestHandler {
     /**
      * Takes a request. Its answer may come before this returns.
      *
--- a/src/main/java/rowanplank/exchange/Answer.java
+++ b/src/main/java/rowanplank/exchange/Response.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** The one final answer to a request. */
-public sealed interface Answer {
+public sealed interface Response {
     /** A peer's answer, passed on without change. */
-    record Served(List<Header> headers, byte[] body) implements Answer {
+    record Served(List<Header> headers, byte[] body) implements Response {
         public Served {
             headers = List.copyOf(headers);
         }
@@ -17,15 +17,15 @@
      *
      * @param length of the whole body, in bytes; -1 where the peer does not tell it
      */
-    record Begun(List<Header> headers, long length, Transfer body) implements Answer {
-        public Begun {
+    record Streamed(List<Header> headers, long length, Transfer body) implements Response {
+        public Streamed {
             headers = List.copyOf(headers);
         }
     }
 
     /** A reject: not served, and asking again is harmless, best after this time (zero: no advice). */
-    record Rejected(Duration retryAfter) implements Answer { }
+    record Rejected(Duration retryAfter) implements Response { }
 
     /** Not served, and nothing is promised. */
-    record Failed() implements Answer { }
+    record Failed() implements Response { }
 }
--- a/src/main/java/rowanplank/exchange/Transfer.java
+++ b/src/main/java/rowanplank/exchange/Transfer.java
@@ -10,7 +10,7 @@
  * and a copy of the bytes that come.
  *
  * <p>Bound: {@link #WINDOW} bytes, and what its source had read in one piece when it was told to stop; once all transfers
- * of a node together hold {@link Room#MOST_HELD}, {@link #SMALL_WINDOW} each.
+ * of a node together hold {@link BufferBudget#SMALL_WINDOW_THRESHOLD}, {@link #SMALL_WINDOW} each.
  */
 public final class Transfer {
     /** So much is held for the other side before no more is read. */
@@ -28,35 +28,35 @@
     }
 
     /** What all transfers of a node hold together. */
-    public static final class Room {
-        static final int MOST_HELD = 4 << 20;
+    public static final class BufferBudget {
+        static final int SMALL_WINDOW_THRESHOLD = 4 << 20;
 
-        private long held;
+        private long heldBytes;
 
-        long held() {
-            return held;
+        long heldBytes() {
+            return heldBytes;
         }
 
         private int window() {
-            return held > MOST_HELD ? SMALL_WINDOW : WINDOW;
+            return heldBytes > SMALL_WINDOW_THRESHOLD ? SMALL_WINDOW : WINDOW;
         }
     }
 
-    private final Room room;
+    private final BufferBudget budget;
     private final Source source;
-    private final Queue<ByteBuffer> waiting = new ArrayDeque<>();
-    private Runnable sink = () -> { };
+    private final Queue<ByteBuffer> chunks = new ArrayDeque<>();
+    private Runnable reader = () -> { };
     /** Of what was taken last: it is held until the next is asked for, since it is being written. */
-    private int taken;
-    private int held;
-    private boolean touched;
-    private boolean stopped;
+    private int lastPolledBytes;
+    private int heldBytes;
+    private boolean readStarted;
+    private boolean paused;
     private boolean ended;
     private boolean failed;
     private boolean abandoned;
 
-    public Transfer(Room room, Source source) {
-        this.room = room;
+    public Transfer(BufferBudget room, Source source) {
+        this.budget = room;
         this.source = source;
     }
 
@@ -71,43 +71,43 @@
         }
         if (bytes.hasRemaining()) {
             int size = bytes.remaining();
-            waiting.add(ByteBuffer.allocate(size).put(bytes).flip());
-            hold(size);
-            sink.run();
+            chunks.add(ByteBuffer.allocate(size).put(bytes).flip());
+            addHeldBytes(size);
+            reader.run();
         }
-        stopped = !abandoned && !failed && held >= room.window();
-        return !stopped;
+        paused = !abandoned && !failed && heldBytes >= budget.window();
+        return !paused;
     }
 
     /** All has come. */
     public void end() {
         ended = true;
-        sink.run();
+        reader.run();
     }
 
     /** The rest will not come: what there is can't become whole. */
     public void fail() {
         if (!ended && !failed && !abandoned) {
             failed = true;
-            drop();
-            sink.run();
+            clear();
+            reader.run();
         }
     }
 
     /** @param more run whenever there may be something to take, an end or a failure; and once now */
-    public void drainTo(Runnable more) {
-        sink = more;
+    public void setReader(Runnable more) {
+        reader = more;
         more.run();
     }
 
     /** The next piece, or null if there is none now. What was taken before counts as written from here on. */
     public ByteBuffer poll() {
-        touched = true;
-        hold(-taken);
-        ByteBuffer next = waiting.poll();
-        taken = next == null ? 0 : next.remaining();
-        if (stopped && held <= room.window() / 2) {
-            stopped = false;
+        readStarted = true;
+        addHeldBytes(-lastPolledBytes);
+        ByteBuffer next = chunks.poll();
+        lastPolledBytes = next == null ? 0 : next.remaining();
+        if (paused && heldBytes <= budget.window() / 2) {
+            paused = false;
             source.resume();
         }
         return next;
@@ -117,7 +117,7 @@
     public void abandon() {
         if (!abandoned) {
             abandoned = true;
-            drop();
+            clear();
             if (!ended && !failed) {
                 source.abandoned();
             }
@@ -127,33 +127,33 @@
     /** The side that fills it has no more to do with it, nor has anybody else. */
     public void discard() {
         failed = true;
-        drop();
+        clear();
     }
 
-    private void drop() {
-        waiting.clear();
-        taken = 0;
-        hold(-held);
+    private void clear() {
+        chunks.clear();
+        lastPolledBytes = 0;
+        addHeldBytes(-heldBytes);
     }
 
-    private void hold(int change) {
-        held += change;
-        room.held += change;
+    private void addHeldBytes(int change) {
+        heldBytes += change;
+        budget.heldBytes += change;
     }
 
     /** Whether something of it was taken, so that it can't be sent again from its start. */
-    public boolean isTouched() {
-        return touched;
+    public boolean hasReadStarted() {
+        return readStarted;
     }
 
     /** Whether all of it has come. */
-    public boolean hasEnded() {
+    public boolean isFullyReceived() {
         return ended;
     }
 
     /** Whether all of it has been taken. */
-    public boolean isDone() {
-        return ended && !failed && waiting.isEmpty();
+    public boolean isFullyRead() {
+        return ended && !failed && chunks.isEmpty();
     }
 
     public boolean hasFailed() {
--- a/src/main/java/rowanplank/fleet/Fleet.java
+++ b/src/main/java/rowanplank/fleet/Fleet.java
@@ -19,8 +19,8 @@
 import rowanplank.config.Addresses;
 import rowanplank.config.ConfigException;
 import rowanplank.config.FleetConfig;
-import rowanplank.decision.Bounds;
-import rowanplank.decision.Places;
+import rowanplank.decision.FleetLimits;
+import rowanplank.decision.ServerSlots;
 import rowanplank.fleet.wire.Envelope;
 import rowanplank.fleet.wire.EnvelopeForm;
 import rowanplank.fleet.wire.LedgerForm;
@@ -195,12 +195,12 @@
     }
 
     /** What bounds this node's tries at page servers. */
-    public Places places() {
-        return places == null ? Places.NONE : places;
+    public ServerSlots places() {
+        return places == null ? ServerSlots.NONE : places;
     }
 
     /** What bounds its tries beyond the first, and its calls to discovery. */
-    public Bounds bounds() {
+    public FleetLimits bounds() {
         return rates;
     }
 
--- a/src/main/java/rowanplank/fleet/PlaceKeeper.java
+++ b/src/main/java/rowanplank/fleet/PlaceKeeper.java
@@ -12,7 +12,7 @@
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.balancer.BalancerApi.Settings;
 import rowanplank.config.FleetConfig;
-import rowanplank.decision.Places;
+import rowanplank.decision.ServerSlots;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.BudgetHolder;
 import rowanplank.ledger.Command;
@@ -32,7 +32,7 @@
  * <p>Bound: {@value #MOST} servers; others have no places here. A look, four times a second, costs O(servers); a try
  * O(log servers).
  */
-final class PlaceKeeper implements Places {
+final class PlaceKeeper implements ServerSlots {
     private static final int MOST = 800;
     private static final Duration LOOK = Duration.ofMillis(250);
     /** Of what was in use at once, so much is forgotten with each look, once nothing like it has been since. */
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public double at(long server) {
+    public double limit(long server) {
         Place p = places.get(server);
         return p == null ? 0 : at(p);
     }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public boolean begin(long server, double worth) {
+    public boolean tryAcquire(long server, double worth) {
         Place p = places.get(server);
         if (p == null) {
             return false;
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void end(long server, boolean heard) {
+    public void release(long server, boolean heard) {
         Place p = places.get(server);
         if (p == null) {
             return;
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void servers(List<Server> changed, boolean complete, Settings site) {
+    public void updateServers(List<Server> changed, boolean complete, Settings site) {
         places.values().forEach(p -> p.gone |= complete);
         for (Server s : changed) {
             Place p = places.get(s.id());
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void usable(Runnable changed) {
+    public void onSlotsAvailable(Runnable changed) {
         usable = changed;
     }
 
--- a/src/main/java/rowanplank/fleet/RateKeeper.java
+++ b/src/main/java/rowanplank/fleet/RateKeeper.java
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.stream.Stream;
 import rowanplank.config.FleetConfig;
-import rowanplank.decision.Bounds;
+import rowanplank.decision.FleetLimits;
 import rowanplank.ledger.BudgetHolder;
 import rowanplank.ledger.Share;
 import rowanplank.net.Loop;
@@ -21,7 +21,7 @@
  *
  * <p>A look, four times a second, costs O(1), as each question does but for O(log budgets).
  */
-final class RateKeeper implements Bounds {
+final class RateKeeper implements FleetLimits {
     private static final Duration LOOK = Duration.ofMillis(250);
     private static final double LOOKS_A_SECOND = 4;
     private static final double FORGET = 0.9;
@@ -72,12 +72,12 @@
     }
 
     @Override
-    public void firstTry() {
+    public void recordFirstAttempt() {
         saved = Math.min(MOST_SAVED, saved + share);
     }
 
     @Override
-    public boolean mayTryAgain() {
+    public boolean mayRetry() {
         if (saved < 1) {
             return false;
         }
@@ -87,14 +87,14 @@
     }
 
     @Override
-    public boolean tryAgain() {
+    public boolean tryAcquireRetry() {
         boolean begun = saved >= 1 && (tries == null || begin(tries));
         saved -= begun ? 1 : 0;
         return begun;
     }
 
     @Override
-    public Duration call() {
+    public Duration tryAcquireDiscoveryCall() {
         if (calls == null || begin(calls)) {
             return Duration.ZERO;
         }
--- a/src/main/java/rowanplank/intake/http/ClientConnection.java
+++ b/src/main/java/rowanplank/intake/http/ClientConnection.java
@@ -11,10 +11,10 @@
 import org.eclipse.jetty.io.EndPoint;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.RequestClass;
-import rowanplank.exchange.Answer;
 import rowanplank.exchange.Exchange;
 import rowanplank.exchange.Header;
 import rowanplank.exchange.RequestContext;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Transfer;
 import rowanplank.http.Headers;
 import rowanplank.http.Messages;
@@ -260,7 +260,7 @@
         } else if (over && reader.isWhole()) {
             uploading = false;
             place.move(Stage.WAITING, now);
-            exchange.uploaded(now);
+            exchange.uploadFinished(now);
             upload.end();
         } else if (over) {
             intake.counters.add(Count.REQUESTS_MALFORMED);
@@ -274,7 +274,7 @@
     private void breakOff(int status) {
         Exchange left = exchange;
         exchange = null;
-        left.depart();
+        left.clientLeft();
         dropUpload();
         respondAndClose(status);
     }
@@ -420,7 +420,7 @@
 
     /** Its end may have come in together with its request, or wait behind what it has sent ahead. */
     @Override
-    public boolean isThere() {
+    public boolean isConnected() {
         if (isPaused() && !lookedBeyond) {
             lookedBeyond = true;
             lookBeyondPause();
@@ -431,25 +431,25 @@
     }
 
     @Override
-    public void answer(Answer answer) {
+    public void respond(Response answer) {
         exchange = null;
         if (isOver()) {
             return;
         }
         lastOne |= uploading; // answered before its body's end, of which no more is taken
         dropUpload();
-        if (answer instanceof Answer.Served served) {
+        if (answer instanceof Response.Served served) {
             respond(200, Headers.fields(served.headers(), Header::name, Header::value), served.body());
-        } else if (answer instanceof Answer.Begun begun) {
+        } else if (answer instanceof Response.Streamed begun) {
             begin(begun);
-        } else if (answer instanceof Answer.Rejected rejected) {
+        } else if (answer instanceof Response.Rejected rejected) {
             reject(rejected.retryAfter());
         } else {
             respond(502, HttpFields.build(), NOTHING);
         }
     }
 
-    private void begin(Answer.Begun begun) {
+    private void begin(Response.Streamed begun) {
         LargeAnswer.Framing framing = begun.length() >= 0 ? LargeAnswer.Framing.LENGTH
                 : reader.readsChunks() ? LargeAnswer.Framing.CHUNKED : LargeAnswer.Framing.UNTIL_CLOSE;
         HttpFields.Mutable fields = Headers.fields(begun.headers(), Header::name, Header::value);
@@ -565,7 +565,7 @@
             answering.abandon();
         }
         if (exchange != null) {
-            exchange.depart();
+            exchange.clientLeft();
         }
         dropUpload();
     }
--- a/src/main/java/rowanplank/intake/http/Intake.java
+++ b/src/main/java/rowanplank/intake/http/Intake.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import rowanplank.config.SiteSettings;
-import rowanplank.exchange.Exchanges;
+import rowanplank.exchange.RequestHandler;
 import rowanplank.exchange.Transfer;
 import rowanplank.http.RequestReader;
 import rowanplank.lifecycle.Lifecycle;
@@ -45,12 +45,12 @@
     private static final int LINGERING_PART = 8;
 
     final SiteSettings site;
-    final Exchanges exchanges;
+    final RequestHandler exchanges;
     final Loop loop;
     final Clock clock;
     final Counters counters;
     /** What large bodies may hold on their way, with all else that is passed on. */
-    final Transfer.Room room;
+    final Transfer.BufferBudget room;
     private final long mostBody;
     /** What a connection has of a request when it has nothing. */
     final ByteBuffer noBytes = ByteBuffer.allocate(0);
@@ -69,8 +69,8 @@
      * @param room what large bodies may hold, with all else that is passed on
      * @param mostBody the longest body that is taken, in bytes
      */
-    public Intake(SiteSettings site, Exchanges exchanges, int mostConnections, int mostServed, Loop loop,
-            Counters counters, Lifecycle lifecycle, Transfer.Room room, long mostBody) {
+    public Intake(SiteSettings site, RequestHandler exchanges, int mostConnections, int mostServed, Loop loop,
+            Counters counters, Lifecycle lifecycle, Transfer.BufferBudget room, long mostBody) {
         this.site = site;
         this.exchanges = exchanges;
         this.mostConnections = mostConnections;
--- a/src/main/java/rowanplank/intake/http/LargeAnswer.java
+++ b/src/main/java/rowanplank/intake/http/LargeAnswer.java
@@ -38,7 +38,7 @@
 
     void begin(ByteBuffer head) {
         write(head);
-        body.drainTo(this::next);
+        body.setReader(this::next);
     }
 
     /** The client is gone. */
@@ -63,7 +63,7 @@
         ByteBuffer piece = body.poll();
         if (piece != null) {
             write(framing == Framing.CHUNKED ? Messages.chunk(piece) : new ByteBuffer[] {piece});
-        } else if (body.isDone()) {
+        } else if (body.isFullyRead()) {
             over = true;
             if (framing == Framing.CHUNKED) {
                 connection.writePiece(connection::answerWritten, Messages.lastChunk());
--- a/src/main/java/rowanplank/lab/run/NodeExtras.java
+++ b/src/main/java/rowanplank/lab/run/NodeExtras.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 import rowanplank.balancer.BalancerApi.Request;
 import rowanplank.config.NodeConfig;
-import rowanplank.exchange.Onlooker;
 import rowanplank.exchange.RequestContext;
+import rowanplank.exchange.RequestObserver;
 import rowanplank.lab.policy.Extras;
 import rowanplank.lab.site.PageServer;
 import rowanplank.lab.site.Truth;
@@ -23,7 +23,7 @@
 import rowanplank.net.Loop;
 
 /** What a node of the laboratory sees beside what its module is told. On the node's loop, and at its cost. */
-final class NodeExtras implements Extras, Onlooker {
+final class NodeExtras implements Extras, RequestObserver {
     /** Ids of requests are remembered for so many: more than a node holds open. */
     private static final int MOST_IDS = 1 << 15;
 
@@ -54,12 +54,12 @@
     }
 
     @Override
-    public void taken(long request, RequestContext context) {
+    public void requestAccepted(long request, RequestContext context) {
         ids.put(request, context.id());
     }
 
     @Override
-    public void answered(long peer, UnaryOperator<String> field) {
+    public void responseReceived(long peer, UnaryOperator<String> field) {
         Report report = report(field.apply("X-Server-Load"));
         if (report != null) {
             listeners.forEach(l -> l.onReport(Clock.millis(clock.now()), peer, report));
--- a/src/main/java/rowanplank/lab/run/PolicyNodes.java
+++ b/src/main/java/rowanplank/lab/run/PolicyNodes.java
@@ -5,7 +5,7 @@
 import rowanplank.balancer.BalancerApi.Events;
 import rowanplank.balancer.BalancerApi.Settings;
 import rowanplank.config.NodeConfig;
-import rowanplank.decision.Decisions;
+import rowanplank.decision.DecisionDriver;
 import rowanplank.exchange.RequestContext;
 import rowanplank.lab.policy.Policy;
 import rowanplank.lab.site.Truth;
@@ -35,7 +35,7 @@
     }
 
     /** The policy as a node knows it; what the node shows goes to the extras. */
-    private final class Module implements Decisions.Module {
+    private final class Module implements DecisionDriver.ModuleFactory {
         private final NodeExtras extras;
 
         Module(NodeExtras extras) {
@@ -48,13 +48,13 @@
         }
 
         @Override
-        public void taken(long request, RequestContext context) {
-            extras.taken(request, context);
+        public void requestAccepted(long request, RequestContext context) {
+            extras.requestAccepted(request, context);
         }
 
         @Override
-        public void answered(long peer, UnaryOperator<String> field) {
-            extras.answered(peer, field);
+        public void responseReceived(long peer, UnaryOperator<String> field) {
+            extras.responseReceived(peer, field);
         }
     }
 }
--- a/src/main/java/rowanplank/lab/trial/VirtualFleet.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualFleet.java
@@ -122,7 +122,7 @@
             if (servers == 0) {
                 return;
             }
-            loop.execute(() -> fleet.places().servers(IntStream.rangeClosed(1, servers).mapToObj(s -> new BalancerApi.Server(s, 0, 0,
+            loop.execute(() -> fleet.places().updateServers(IntStream.rangeClosed(1, servers).mapToObj(s -> new BalancerApi.Server(s, 0, 0,
                     BalancerApi.Lifecycle.READY, 1, 0)).toList(), true, SITE));
             for (int s = 1; s <= servers; s++) {
                 long server = s;
@@ -131,8 +131,8 @@
         }
 
         private void used(long server) {
-            if (fleet.places().at(server) > 0 && fleet.places().begin(server, 1)) {
-                loop.schedule(USED_FOR, () -> fleet.places().end(server, true));
+            if (fleet.places().limit(server) > 0 && fleet.places().tryAcquire(server, 1)) {
+                loop.schedule(USED_FOR, () -> fleet.places().release(server, true));
             }
             loop.schedule(USED_EACH, () -> used(server));
         }
--- a/src/main/java/rowanplank/node/Node.java
+++ b/src/main/java/rowanplank/node/Node.java
@@ -15,8 +15,8 @@
 import rowanplank.config.ConfigException;
 import rowanplank.config.HostList;
 import rowanplank.config.NodeConfig;
-import rowanplank.decision.Bounds;
-import rowanplank.decision.Decisions;
+import rowanplank.decision.FleetLimits;
+import rowanplank.decision.DecisionDriver;
 import rowanplank.discovery.DiscoveryWatch;
 import rowanplank.discovery.UpstreamGroup;
 import rowanplank.exchange.Transfer;
@@ -47,7 +47,7 @@
     private final RateLimitedLog log;
     private final Counters counters = new Counters();
     private final UpstreamGroup group = new UpstreamGroup();
-    private final Decisions decisions;
+    private final DecisionDriver decisions;
     private final Peers peers;
     private final Intake intake;
     private final Lifecycle lifecycle;
@@ -56,24 +56,24 @@
     private DiscoveryWatch nextWatch;
     private Runnable whenStopped;
     private Fleet fleet;
-    private Bounds bounds = Bounds.NONE;
+    private FleetLimits bounds = FleetLimits.NONE;
 
     public Node(NodeConfig config, Loop loop, RateLimitedLog log) {
         this(config, loop, log, Balancer::new);
     }
 
-    public Node(NodeConfig config, Loop loop, RateLimitedLog log, Decisions.Module module) {
+    public Node(NodeConfig config, Loop loop, RateLimitedLog log, DecisionDriver.ModuleFactory module) {
         this.config = config;
         this.loop = loop;
         this.log = log;
         clock = loop.clock();
-        Transfer.Room room = new Transfer.Room();
+        Transfer.BufferBudget room = new Transfer.BufferBudget();
         int sockets = Math.max(16, config.sockets() - OTHER_SOCKETS);
-        decisions = new Decisions(config.site(), config.seed(), loop, counters, log, module);
+        decisions = new DecisionDriver(config.site(), config.seed(), loop, counters, log, module);
         peers = new Peers(group, config.site().connIdle(), config.site().connectTimeout(), sockets / 3, loop, counters,
                 room);
         peers.show(module);
-        decisions.sendThrough(peers);
+        decisions.setSender(peers);
         lifecycle = new Lifecycle(lifecycleSettings(), new Life());
         intake = new Intake(config.site(), decisions, sockets * 2 / 3, config.sockets() / SERVED_PART, loop,
                 counters, lifecycle, room, config.bodyBytes());
@@ -130,7 +130,7 @@
     public void join(Fleet part) {
         fleet = part;
         part.serves(new ClientsOfTheFleet());
-        decisions.bound(part.places(), part.bounds());
+        decisions.useFleetLimits(part.places(), part.bounds());
         bounds = part.bounds();
         watch.bound(bounds);
     }
@@ -205,7 +205,7 @@
             log.warn(list.members().size() - taken.size() + " peers beyond the bound were left out");
         }
         // The module first: what is given up next is sent elsewhere, and not to others that have gone with it.
-        decisions.servers(kind, taken.stream().map(HostList.Member::server).toList());
+        decisions.updateServers(kind, taken.stream().map(HostList.Member::server).toList());
         peers.groupChanged(change.outdated());
     }
 
@@ -346,7 +346,7 @@
 
         @Override
         public void rejectOpen() {
-            decisions.answerAll();
+            decisions.stop();
         }
 
         @Override
--- a/src/main/java/rowanplank/peer/http/PeerConnection.java
+++ b/src/main/java/rowanplank/peer/http/PeerConnection.java
@@ -12,9 +12,9 @@
 import rowanplank.balancer.BalancerApi.Outcome;
 import rowanplank.config.Addresses;
 import rowanplank.config.HostList.Member;
-import rowanplank.exchange.Answer;
 import rowanplank.exchange.Header;
 import rowanplank.exchange.RequestContext;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Transfer;
 import rowanplank.http.Headers;
 import rowanplank.http.Messages;
@@ -86,7 +86,7 @@
             fields.put(HttpHeader.HOST, Addresses.format(peer.address()));
         }
         fields.put("X-Request-ID", context.id());
-        Duration wait = payload.isComing() && upload.patience().compareTo(left) < 0 ? upload.patience() : left;
+        Duration wait = payload.isUploading() && upload.responseTimeout().compareTo(left) < 0 ? upload.responseTimeout() : left;
         fields.put("X-Timeout", Math.max(1, wait.toNanos() / 1000) + "u");
         if (upload == null) {
             write(() -> written = true, Messages.request(payload.method(), payload.target(), fields, payload.body()));
@@ -115,8 +115,8 @@
         write(() -> {
             pieceOut = false;
             moved = true;
-            if (upload != null && !upload.rest().isTouched()) {
-                upload.rest().drainTo(this::sendOn);
+            if (upload != null && !upload.remainder().hasReadStarted()) {
+                upload.remainder().setReader(this::sendOn);
             } else {
                 sendOn();
             }
@@ -128,11 +128,11 @@
         if (upload == null || pieceOut || isOver()) {
             return;
         }
-        Transfer rest = upload.rest();
+        Transfer rest = upload.remainder();
         ByteBuffer piece = rest.poll();
         if (piece != null) {
             writePiece(piece);
-        } else if (rest.isDone()) {
+        } else if (rest.isFullyRead()) {
             boolean chunked = upload.length() < 0;
             upload = null;
             if (chunked) {
@@ -148,7 +148,7 @@
     private void sent() {
         written = true;
         if (sending != null) {
-            sending.attempt.sent(clock.now());
+            sending.attempt.sendFinished(clock.now());
         }
     }
 
@@ -238,7 +238,7 @@
         peers.answered(peer, reader::field);
         Outcome outcome = outcome();
         boolean served = outcome == Outcome.OK && answer == null;
-        finish(outcome, served ? new Answer.Served(headers(), reader.body()) : null, reusable);
+        finish(outcome, served ? new Response.Served(headers(), reader.body()) : null, reusable);
     }
 
     private List<Header> headers() {
@@ -268,7 +268,7 @@
     private void begin() {
         answer = new Transfer(peers.room(), this);
         answer.offer(ByteBuffer.wrap(reader.body()));
-        Answer.Begun begun = new Answer.Begun(headers(), reader.length(), answer);
+        Response.Streamed begun = new Response.Streamed(headers(), reader.length(), answer);
         sending.begin(begun, headAt == null ? clock.now() : headAt);
         reader.passOn(this::passOn);
     }
@@ -300,7 +300,7 @@
     }
 
     /** The connection is free, or closed, before the outcome is told: what follows may want to use it. */
-    private void finish(Outcome outcome, Answer.Served served, boolean reusable) {
+    private void finish(Outcome outcome, Response.Served served, boolean reusable) {
         Peers.Sending done = sending;
         Transfer passed = answer;
         sending = null;
--- a/src/main/java/rowanplank/peer/http/Peers.java
+++ b/src/main/java/rowanplank/peer/http/Peers.java
@@ -15,11 +15,11 @@
 import rowanplank.balancer.BalancerApi.Outcome;
 import rowanplank.config.HostList.Member;
 import rowanplank.discovery.UpstreamGroup;
-import rowanplank.exchange.Answer;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Exchange;
-import rowanplank.exchange.Onlooker;
+import rowanplank.exchange.RequestObserver;
 import rowanplank.exchange.Transfer;
-import rowanplank.exchange.TrySender;
+import rowanplank.exchange.AttemptSender;
 import rowanplank.metrics.Counters.Count;
 import rowanplank.metrics.Counters;
 import rowanplank.net.Clock;
@@ -31,7 +31,7 @@
  * or opens one. It is written once; nothing here sends it again. A try and its end cost O(log n) for n connections at
  * rest, and a change of the group what changed.
  */
-public final class Peers implements TrySender {
+public final class Peers implements AttemptSender {
     /** Idle connections are given up after this part of the time that peers keep them. */
     private static final int IDLE_PART = 2;
     /** A second answer may come so long after the first: the connection's next request must not be out by then. */
@@ -50,13 +50,13 @@
     private final Loop loop;
     private final Clock clock;
     private final Counters counters;
-    private final Transfer.Room room;
-    private final Map<Exchange.Try, Sending> out = new LinkedHashMap<>();
+    private final Transfer.BufferBudget room;
+    private final Map<Exchange.Attempt, Sending> out = new LinkedHashMap<>();
     /** Those that wait for a connection, by peer, in the order of their sending. */
     private final Map<Long, Set<Sending>> opening = new LinkedHashMap<>();
     /** By peer, not by address: a new peer may come up at the address of one that has gone. */
     private final IdleConnections<PeerConnection> idle = new IdleConnections<>();
-    private Onlooker onlooker = new Onlooker() { };
+    private RequestObserver onlooker = new RequestObserver() { };
     private int connections;
 
     /**
@@ -65,7 +65,7 @@
      * @param room what large answers may hold, with all else that is passed on
      */
     public Peers(UpstreamGroup group, Duration connIdle, Duration connectTimeout, int mostConnections, Loop loop,
-            Counters counters, Transfer.Room room) {
+            Counters counters, Transfer.BufferBudget room) {
         this.group = group;
         this.connIdle = connIdle.dividedBy(IDLE_PART);
         this.connectTimeout = connectTimeout;
@@ -76,13 +76,13 @@
         this.room = room;
     }
 
-    Transfer.Room room() {
+    Transfer.BufferBudget room() {
         return room;
     }
 
     /** One try on its way: first with a connection that is being opened, then on a connection. */
     final class Sending {
-        final Exchange.Try attempt;
+        final Exchange.Attempt attempt;
         private final Member member;
         private Loop.Timer timer;
         /** Looks whether an answer that has begun still moves as its client's time is up; null before it begins. */
@@ -90,13 +90,13 @@
         private Loop.Opening connecting;
         private PeerConnection connection;
 
-        Sending(Exchange.Try attempt, Member member) {
+        Sending(Exchange.Attempt attempt, Member member) {
             this.attempt = attempt;
             this.member = member;
         }
 
         /** Ends the try. Unless its answer came whole its connection is closed first: the work may still be out. */
-        void end(Outcome outcome, Answer.Served served) {
+        void end(Outcome outcome, Response.Served served) {
             if (out.remove(attempt) == null) {
                 return;
             }
@@ -115,10 +115,10 @@
         }
 
         /** A large answer has begun: no time is up for it any more, as long as it comes. */
-        void begin(Answer.Begun answer, Instant at) {
+        void begin(Response.Streamed answer, Instant at) {
             timer.cancel();
             timer = loop.schedule(PeerConnection.STALLED, this::look);
-            attempt.begin(answer, at);
+            attempt.responseStarted(answer, at);
         }
 
         /** Guards sockets against bodies that have come to a stop, in either direction, through the peer. */
@@ -150,9 +150,9 @@
         private void goOut(PeerConnection on) {
             connection = on;
             Instant now = clock.now();
-            if (attempt.mayGoOut(now)) {
-                attempt.goesOut();
-                on.send(this, Duration.between(now, attempt.until()), clock);
+            if (attempt.maySend(now)) {
+                attempt.sendStarted();
+                on.send(this, Duration.between(now, attempt.timeoutAt()), clock);
             } else {
                 end(Outcome.CONNECT_FAILED, null);
             }
@@ -160,7 +160,7 @@
 
         /** Guards against a request that is written for a client that left, or was answered, while this came up. */
         private void cameUp(PeerConnection on) {
-            if (attempt.exchange().isWanted()) {
+            if (attempt.exchange().isResponseWanted()) {
                 goOut(on);
             } else {
                 keep(on);
@@ -171,8 +171,8 @@
         private void open() {
             connections++;
             counters.add(Count.PEER_CONNECTIONS);
-            opening.computeIfAbsent(attempt.peer(), p -> new LinkedHashSet<>()).add(this);
-            Duration useful = Duration.between(clock.now(), attempt.startBy());
+            opening.computeIfAbsent(attempt.server(), p -> new LinkedHashSet<>()).add(this);
+            Duration useful = Duration.between(clock.now(), attempt.startDeadline());
             Duration patience = useful.compareTo(connectTimeout) < 0 ? useful : connectTimeout;
             connecting = loop.connect(member.address(), patience, new Loop.Connector() {
                 @Override
@@ -190,18 +190,18 @@
 
         private void waitNoMore() {
             connecting = null;
-            opening.computeIfPresent(attempt.peer(), (peer, waiting) ->
+            opening.computeIfPresent(attempt.server(), (peer, waiting) ->
                     waiting.remove(this) && waiting.isEmpty() ? null : waiting);
         }
     }
 
     /** Shows it all answers from now on. */
-    public void show(Onlooker whom) {
+    public void show(RequestObserver whom) {
         onlooker = whom;
     }
 
     void answered(Member peer, UnaryOperator<String> field) {
-        onlooker.answered(peer.server().id(), field);
+        onlooker.responseReceived(peer.server().id(), field);
     }
 
     /** Begins to look after idle connections; to be called on the loop's thread. */
@@ -219,11 +219,11 @@
     }
 
     @Override
-    public void send(Exchange.Try attempt) {
-        Member member = group.ready(attempt.peer());
+    public void send(Exchange.Attempt attempt) {
+        Member member = group.ready(attempt.server());
         Instant now = clock.now();
-        Duration left = Duration.between(now, attempt.until());
-        if (member == null || !attempt.mayGoOut(now)) {
+        Duration left = Duration.between(now, attempt.timeoutAt());
+        if (member == null || !attempt.maySend(now)) {
             attempt.end(Outcome.MOOT, null);
             return;
         }
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void cancel(Exchange.Try attempt) {
+    public void cancel(Exchange.Attempt attempt) {
         Sending sending = out.get(attempt);
         if (sending != null) {
             sending.end(Outcome.CANCELLED, null);
@@ -251,16 +251,16 @@
     }
 
     @Override
-    public void limit(Exchange.Try attempt, Duration left) {
+    public void limitTime(Exchange.Attempt attempt, Duration left) {
         Sending sending = out.get(attempt);
-        if (sending != null && !attempt.begun()) {
+        if (sending != null && !attempt.hasResponseStarted()) {
             sending.timer.cancel();
             sending.timer = loop.schedule(left, sending::timeUp);
         }
     }
 
     @Override
-    public void expectEnd(Exchange.Try attempt, Duration left) {
+    public void expectCompletion(Exchange.Attempt attempt, Duration left) {
         Sending sending = out.get(attempt);
         if (sending != null) {
             sending.expectEnd(left);
--- a/src/test/java/rowanplank/decision/DecisionsTest.java
+++ b/src/test/java/rowanplank/decision/DecisionsTest.java
@@ -27,11 +27,11 @@
 import rowanplank.balancer.BalancerApi.Outcome;
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.config.SettingsReader;
-import rowanplank.exchange.Answer;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Exchange;
 import rowanplank.exchange.RequestContext;
 import rowanplank.exchange.Transfer;
-import rowanplank.exchange.TrySender;
+import rowanplank.exchange.AttemptSender;
 import rowanplank.metrics.Counters.Count;
 import rowanplank.metrics.Counters;
 import rowanplank.metrics.RateLimitedLog;
@@ -40,25 +40,25 @@
 import rowanplank.net.SystemClock;
 
 @Timeout(60)
-class DecisionsTest implements TrySender {
+class DecisionsTest implements AttemptSender {
     private static final String SETTINGS = """
             {"classes": [{"name": "a", "aim_ms": 50, "deadline_ms": 200, "effect": "repeatable"}],
              "ceilings": {"most_tries": 6, "may_cancel": true, "retry_after": true, "max_retry_after_ms": 10}}""";
 
     private final Clock clock = new SystemClock();
     private final Counters counters = new Counters();
-    private final BlockingQueue<Answer> answers = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Response> answers = new LinkedBlockingQueue<>();
     private final List<Long> tried = new ArrayList<>();
     private boolean stays;
     private final RateLimitedLog log = new RateLimitedLog(clock, RateLimitedLog.Sink.system());
     private final SelectorLoop loop = new SelectorLoop(clock, e -> log.warn("unexpected", e));
-    private final Decisions decisions =
-            new Decisions(SettingsReader.parse(SETTINGS), 1, loop, counters, log);
+    private final DecisionDriver decisions =
+            new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log);
 
     @BeforeEach
     void start() throws Exception {
         loop.start();
-        decisions.sendThrough(this);
+        decisions.setSender(this);
     }
 
     @AfterEach
@@ -66,10 +66,10 @@
         loop.stop();
     }
 
-    private Answer ask(int classIndex) throws InterruptedException {
+    private Response ask(int classIndex) throws InterruptedException {
         loop.execute(() -> {
             Instant now = clock.now();
-            decisions.servers(ListKind.FULL, List.of(server(1), server(2)));
+            decisions.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             decisions.open(new RequestContext("id", classIndex, false, now, now.plusMillis(200),
                     new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add);
         });
@@ -82,20 +82,20 @@
 
     /** Each try fails within the module's own action, unless it is to stay out. */
     @Override
-    public void send(Exchange.Try attempt) {
-        tried.add(attempt.peer());
+    public void send(Exchange.Attempt attempt) {
+        tried.add(attempt.server());
         if (stays) {
-            attempt.goesOut();
+            attempt.sendStarted();
         } else {
             attempt.end(Outcome.CONNECT_FAILED, null);
         }
     }
 
     @Override
-    public void limit(Exchange.Try attempt, Duration left) { }
+    public void limitTime(Exchange.Attempt attempt, Duration left) { }
 
     @Override
-    public void cancel(Exchange.Try attempt) {
+    public void cancel(Exchange.Attempt attempt) {
         attempt.end(Outcome.CANCELLED, null);
     }
 
@@ -105,8 +105,8 @@
     /** Guards against actions that call back: the module would see an outcome before its send had returned. */
     @Test
     void anOutcomeWithinASendWaitsUntilTheModuleIsDone() throws Exception {
-        Answer answer = ask(0);
-        assertEquals(new Answer.Rejected(Duration.ofMillis(10)), answer, "advice is cut to the site's bound");
+        Response answer = ask(0);
+        assertEquals(new Response.Rejected(Duration.ofMillis(10)), answer, "advice is cut to the site's bound");
         assertEquals(Set.of(1L, 2L), new TreeSet<>(tried));
         assertEquals(2, tried.size(), "each server once");
         assertEquals(0, counters.get(Count.INTERNAL_FAILURES));
@@ -117,7 +117,7 @@
     void theModuleIsNeverCalledFromWithinItself() throws Exception {
         int[] depth = new int[1];
         boolean[] nested = new boolean[1];
-        Decisions watched = new Decisions(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
+        DecisionDriver watched = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
             Balancer module = new Balancer(site, seed, actions);
             return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), new Class<?>[] {Events.class},
                     (proxy, event, arguments) -> {
@@ -130,8 +130,8 @@
                     });
         });
         loop.execute(() -> {
-            watched.sendThrough(this);
-            watched.servers(ListKind.FULL, List.of(server(1), server(2)));
+            watched.setSender(this);
+            watched.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             Instant now = clock.now();
             watched.open(new RequestContext("id", 0, false, now, now.plusMillis(200),
                     new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add);
@@ -145,7 +145,7 @@
     @Test
     void theModuleHearsOfABodyThatIsStillComingAndOnlyOfSuch() throws Exception {
         List<String> events = new ArrayList<>();
-        Decisions told = new Decisions(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
+        DecisionDriver told = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
             Balancer module = new Balancer(site, seed, actions);
             return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), new Class<?>[] {Events.class},
                     (proxy, event, arguments) -> {
@@ -155,11 +155,11 @@
         });
         List<String> heard = loop.call(() -> {
             stays = true;
-            told.sendThrough(this);
-            told.servers(ListKind.FULL, List.of(server(1), server(2)));
+            told.setSender(this);
+            told.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             open(told, "held", null);
-            open(told, "comes", new Transfer(new Transfer.Room(), null));
-            Transfer whole = new Transfer(new Transfer.Room(), null);
+            open(told, "comes", new Transfer(new Transfer.BufferBudget(), null));
+            Transfer whole = new Transfer(new Transfer.BufferBudget(), null);
             whole.end();
             open(told, "has come", whole);
             return List.copyOf(events); // on the loop's thread: the module's own timers come later
@@ -167,7 +167,7 @@
         assertEquals(List.of("onServers", "onRequest", "onRequest", "onStreamStarted", "onRequest"), heard);
     }
 
-    private void open(Decisions at, String id, Transfer rest) {
+    private void open(DecisionDriver at, String id, Transfer rest) {
         Instant now = clock.now();
         at.open(new RequestContext(id, 0, false, now, now.plusSeconds(20),
                 new RequestContext.Payload("POST", "/a", List.of(), new byte[9], rest == null ? null
@@ -181,10 +181,10 @@
         loop.execute(() -> {
             stays = true;
             Instant now = clock.now();
-            decisions.servers(ListKind.FULL, List.of(server(1), server(2)));
+            decisions.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             for (int i = 0; i < 100; i++) {
                 decisions.open(new RequestContext("id" + i, 0, false, now, now.plusSeconds(20),
-                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add).depart();
+                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add).clientLeft();
             }
             open.add(decisions.openCount());
         });
@@ -199,9 +199,9 @@
         loop.execute(() -> {
             List<String> order = new ArrayList<>();
             List<Exchange> first = open(0, 10, order); // numbers that have gone by: later ones wrap round in a table
-            first.forEach(Exchange::depart);
+            first.forEach(Exchange::clientLeft);
             open(10, 22, order);
-            decisions.answerAll();
+            decisions.stop();
             rejected.add(order);
         });
         assertEquals(IntStream.range(10, 22).mapToObj(i -> "id" + i).toList(), rejected.take());
@@ -212,30 +212,30 @@
     void atAStopARequestIsRefusedOnlyWhereARepeatIsHarmless() throws Exception {
         String settings = SETTINGS.replace("}],", "}, {\"name\": \"b\", \"aim_ms\": 50, \"deadline_ms\": 200, "
                 + "\"effect\": \"once\"}],");
-        Decisions stopping = new Decisions(SettingsReader.parse(settings), 1, loop, counters, log);
-        Map<String, Answer> answered = loop.call(() -> {
-            Map<String, Answer> byId = new TreeMap<>();
+        DecisionDriver stopping = new DecisionDriver(SettingsReader.parse(settings), 1, loop, counters, log);
+        Map<String, Response> answered = loop.call(() -> {
+            Map<String, Response> byId = new TreeMap<>();
             stays = true;
-            stopping.sendThrough(this);
+            stopping.setSender(this);
             openAt(stopping, "held", 1, byId);
-            stopping.servers(ListKind.FULL, List.of(server(1), server(2)));
-            stopping.servers(ListKind.FULL, List.of());
+            stopping.updateServers(ListKind.FULL, List.of(server(1), server(2)));
+            stopping.updateServers(ListKind.FULL, List.of());
             openAt(stopping, "unsafe and held", 1, byId);
-            stopping.servers(ListKind.FULL, List.of(server(3)));
+            stopping.updateServers(ListKind.FULL, List.of(server(3)));
             openAt(stopping, "unsafe and sent", 1, byId);
             openAt(stopping, "safe and sent", 0, byId);
-            stopping.answerAll();
+            stopping.stop();
             openAt(stopping, "comes after", 1, byId);
             return byId;
         });
-        Answer refused = new Answer.Rejected(Duration.ofMillis(10));
-        assertEquals(Map.of("held", new Answer.Failed(), "unsafe and held", new Answer.Failed(), "unsafe and sent",
-                new Answer.Failed(), "safe and sent", refused, "comes after", refused), answered);
+        Response refused = new Response.Rejected(Duration.ofMillis(10));
+        assertEquals(Map.of("held", new Response.Failed(), "unsafe and held", new Response.Failed(), "unsafe and sent",
+                new Response.Failed(), "safe and sent", refused, "comes after", refused), answered);
         assertEquals(4, tried.size(), "what comes after is not sent on");
         assertEquals(0, counters.get(Count.INTERNAL_FAILURES));
     }
 
-    private void openAt(Decisions at, String id, int classIndex, Map<String, Answer> answered) {
+    private void openAt(DecisionDriver at, String id, int classIndex, Map<String, Response> answered) {
         Instant now = clock.now();
         at.open(new RequestContext(id, classIndex, false, now, now.plusSeconds(20),
                 new RequestContext.Payload("POST", "/a", List.of(), new byte[0])), a -> answered.put(id, a));
@@ -252,7 +252,7 @@
     /** Guards the deadline: the module throws at a class it does not know, and says nothing more of the request. */
     @Test
     void aRequestThatTheModuleLeavesUnansweredIsFailedAtItsDeadline() throws Exception {
-        assertInstanceOf(Answer.Failed.class, ask(9));
+        assertInstanceOf(Response.Failed.class, ask(9));
         assertEquals(1, counters.get(Count.ANSWERS_OVERDUE));
         assertEquals(0, answers.size());
     }
--- a/src/test/java/rowanplank/exchange/ExchangeTest.java
+++ b/src/test/java/rowanplank/exchange/ExchangeTest.java
@@ -24,39 +24,39 @@
             seen::add, this);
 
     @Override
-    public void tryEnded(Exchange.Try attempt, Outcome outcome, Answer.Served served) {
+    public void attemptEnded(Exchange.Attempt attempt, Outcome outcome, Response.Served served) {
         seen.add(outcome);
     }
 
     @Override
-    public void departed(Exchange departed) {
+    public void clientLeft(Exchange departed) {
         seen.add("departed");
     }
 
     @Test
     void thereIsOneFinalAnswer() {
-        assertTrue(exchange.answer(new Answer.Failed()));
-        assertFalse(exchange.answer(new Answer.Rejected(Duration.ZERO)));
-        exchange.depart();
-        assertEquals(List.of(new Answer.Failed()), seen);
-        assertNull(exchange.begin(0, 7, NOW, DEADLINE), "nothing is sent after the end");
+        assertTrue(exchange.respond(new Response.Failed()));
+        assertFalse(exchange.respond(new Response.Rejected(Duration.ZERO)));
+        exchange.clientLeft();
+        assertEquals(List.of(new Response.Failed()), seen);
+        assertNull(exchange.beginAttempt(0, 7, NOW, DEADLINE), "nothing is sent after the end");
     }
 
     @Test
     void aClientThatLeftIsAnsweredNoMore() {
-        exchange.depart();
-        assertFalse(exchange.answer(new Answer.Failed()));
+        exchange.clientLeft();
+        assertFalse(exchange.respond(new Response.Failed()));
         assertEquals(List.of("departed"), seen);
     }
 
     @Test
     void oneTryIsOutAtATimeAndEachHasOneOutcome() {
-        Exchange.Try first = exchange.begin(0, 7, NOW, DEADLINE.plusSeconds(5));
-        assertEquals(DEADLINE, first.until(), "no try outlasts its request");
-        assertNull(exchange.begin(1, 8, NOW, DEADLINE));
+        Exchange.Attempt first = exchange.beginAttempt(0, 7, NOW, DEADLINE.plusSeconds(5));
+        assertEquals(DEADLINE, first.timeoutAt(), "no try outlasts its request");
+        assertNull(exchange.beginAttempt(1, 8, NOW, DEADLINE));
         first.end(Outcome.RESET, null);
         first.end(Outcome.TIMEOUT, null);
         assertEquals(List.of(Outcome.RESET), seen);
-        assertNotNull(exchange.begin(1, 8, NOW, DEADLINE));
+        assertNotNull(exchange.beginAttempt(1, 8, NOW, DEADLINE));
     }
 }
--- a/src/test/java/rowanplank/exchange/TransferTest.java
+++ b/src/test/java/rowanplank/exchange/TransferTest.java
@@ -17,7 +17,7 @@
 class TransferTest implements Transfer.Source {
     private static final int PIECE = 20_000;
 
-    private final Transfer.Room room = new Transfer.Room();
+    private final Transfer.BufferBudget room = new Transfer.BufferBudget();
     private final Transfer transfer = new Transfer(room, this);
     private int resumed;
     private int abandoned;
@@ -49,7 +49,7 @@
             } else {
                 got = take(got);
             }
-            assertTrue(this.room.held() <= Transfer.WINDOW + PIECE);
+            assertTrue(this.room.heldBytes() <= Transfer.WINDOW + PIECE);
         }
         transfer.end();
         for (int before = -1; before != got;) {
@@ -57,8 +57,8 @@
             got = take(got);
         }
         assertEquals(sent, got);
-        assertTrue(transfer.isDone());
-        assertEquals(0, this.room.held());
+        assertTrue(transfer.isFullyRead());
+        assertEquals(0, this.room.heldBytes());
     }
 
     private int take(int got) {
@@ -74,14 +74,14 @@
     @Example
     void whereAllHoldMuchEachHoldsLittle() {
         List<Transfer> others = new ArrayList<>();
-        while (room.held() <= Transfer.Room.MOST_HELD) {
+        while (room.heldBytes() <= Transfer.BufferBudget.SMALL_WINDOW_THRESHOLD) {
             Transfer other = new Transfer(room, this);
             while (other.offer(ByteBuffer.allocate(PIECE))) { }
             others.add(other);
         }
         assertFalse(transfer.offer(ByteBuffer.allocate(Transfer.SMALL_WINDOW)));
         others.forEach(Transfer::abandon);
-        assertEquals(Transfer.SMALL_WINDOW, room.held());
+        assertEquals(Transfer.SMALL_WINDOW, room.heldBytes());
         assertEquals(others.size(), abandoned);
     }
 
@@ -95,11 +95,11 @@
             other.poll();
             other.offer(ByteBuffer.allocate(PIECE));
             List.<Runnable>of(other::fail, other::abandon, other::discard).get(i).run();
-            assertEquals(0, room.held());
+            assertEquals(0, room.heldBytes());
             assertNull(other.poll());
-            assertFalse(other.isDone(), "it must not pass for whole");
+            assertFalse(other.isFullyRead(), "it must not pass for whole");
             other.offer(ByteBuffer.allocate(PIECE));
-            assertEquals(0, room.held(), "nothing is taken after its end");
+            assertEquals(0, room.heldBytes(), "nothing is taken after its end");
         }
     }
 
@@ -107,11 +107,11 @@
     void theSinkHearsOfEachPieceOfTheEndAndOfAFailure() {
         List<String> heard = new ArrayList<>();
         transfer.offer(ByteBuffer.allocate(1));
-        assertFalse(transfer.isTouched());
-        transfer.drainTo(() -> heard.add(transfer.poll() + " " + transfer.isDone() + transfer.hasFailed()));
+        assertFalse(transfer.hasReadStarted());
+        transfer.setReader(() -> heard.add(transfer.poll() + " " + transfer.isFullyRead() + transfer.hasFailed()));
         transfer.offer(ByteBuffer.allocate(2));
         transfer.end();
-        assertTrue(transfer.isTouched());
+        assertTrue(transfer.hasReadStarted());
         assertEquals(3, heard.size());
         assertEquals("null truefalse", heard.get(2));
     }
--- a/src/test/java/rowanplank/fleet/PlaceKeeperTest.java
+++ b/src/test/java/rowanplank/fleet/PlaceKeeperTest.java
@@ -64,29 +64,29 @@
     /** Guards a list of which six in ten are replaced while tries are out: what is out stays counted, the rest moves on. */
     @Test
     void sixInTenServersAreReplaced() {
-        keeper.servers(servers(LongStream.rangeClosed(1, 10)), true, SITE);
+        keeper.updateServers(servers(LongStream.rangeClosed(1, 10)), true, SITE);
         answer(Result.of(Result.Kind.OPENED, 5), List.of());
         answer(Result.of(Result.Kind.JOINED, 9), List.of());
         answer(Result.of(Result.Kind.PARTS, 10), LongStream.rangeClosed(1, 10)
                 .mapToObj(id -> new Ask.Told(name(id), 9, new Share(2, 0), new Share(2, 0), id)).toList());
-        assertTrue(keeper.begin(1, 1) && keeper.begin(7, 1) && keeper.begin(7, 1));
-        assertFalse(keeper.begin(7, 1), "two of two are out");
+        assertTrue(keeper.tryAcquire(1, 1) && keeper.tryAcquire(7, 1) && keeper.tryAcquire(7, 1));
+        assertFalse(keeper.tryAcquire(7, 1), "two of two are out");
 
-        keeper.servers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
+        keeper.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
         Set<String> used = new TreeSet<>(keeper.budgets(sharing).keySet());
         assertEquals(11, used.size(), "four, six new ones, and one at which tries are out");
-        assertEquals(2.0, keeper.at(1), "a server that stays keeps its places");
-        assertEquals(0.0, keeper.at(7), "one that is gone is not used");
-        assertEquals(0.0, keeper.at(21), "of a new one nothing was told yet");
+        assertEquals(2.0, keeper.limit(1), "a server that stays keeps its places");
+        assertEquals(0.0, keeper.limit(7), "one that is gone is not used");
+        assertEquals(0.0, keeper.limit(21), "of a new one nothing was told yet");
         assertTrue(asked.stream().noneMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7))), "it is used");
         assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(8)) && g.most().equals(Share.NONE)));
 
-        keeper.end(7, true);
-        keeper.end(7, true);
-        keeper.servers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
+        keeper.release(7, true);
+        keeper.release(7, true);
+        keeper.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
         assertFalse(keeper.budgets(sharing).containsKey(name(7)));
         assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7)) && g.most().equals(Share.NONE)));
-        keeper.servers(servers(LongStream.of(7)), false, SITE);
-        assertEquals(0.0, keeper.at(7), "back under its id, it has what the ledger says from now on");
+        keeper.updateServers(servers(LongStream.of(7)), false, SITE);
+        assertEquals(0.0, keeper.limit(7), "back under its id, it has what the ledger says from now on");
     }
 }
--- a/src/test/java/rowanplank/intake/http/IntakeTest.java
+++ b/src/test/java/rowanplank/intake/http/IntakeTest.java
@@ -18,13 +18,13 @@
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.config.SettingsReader;
 import rowanplank.config.SiteSettings;
-import rowanplank.decision.Decisions;
-import rowanplank.exchange.Answer;
+import rowanplank.decision.DecisionDriver;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Exchange;
-import rowanplank.exchange.Exchanges;
+import rowanplank.exchange.RequestHandler;
 import rowanplank.exchange.RequestContext;
 import rowanplank.exchange.Transfer;
-import rowanplank.exchange.TrySender;
+import rowanplank.exchange.AttemptSender;
 import rowanplank.metrics.Counters.Count;
 import rowanplank.lifecycle.LifecycleTest;
 import rowanplank.metrics.Counters;
@@ -64,7 +64,7 @@
         }
     }
 
-    private static final class Nowhere implements Exchanges {
+    private static final class Nowhere implements RequestHandler {
         @Override
         public Exchange open(RequestContext context, Exchange.Client client) {
             throw new UnsupportedOperationException();
@@ -83,7 +83,7 @@
     @Test
     void aCrowdThatStopsHalfWayNeverHoldsMoreThanTheBound() throws Exception {
         Intake intake = new Intake(SettingsReader.parse("{\"classes\":[{\"name\":\"a\",\"aim_ms\":50,\"deadline_ms\":200}]}"),
-                new Nowhere(), MOST, MOST, loop, counters, LifecycleTest.serving(), new Transfer.Room(),
+                new Nowhere(), MOST, MOST, loop, counters, LifecycleTest.serving(), new Transfer.BufferBudget(),
                 1 << 20);
         intake.start();
         intake.listen(null);
@@ -101,10 +101,10 @@
     void whatIsCountedAsServedWasServed() throws Exception {
         SiteSettings site = SettingsReader.parse("{\"classes\":[{\"name\":\"a\",\"aim_ms\":50,\"deadline_ms\":200,"
                 + "\"effect\":\"repeatable\"}]}");
-        Decisions decisions = new Decisions(site, 1, loop, counters, new RateLimitedLog(loop.clock(), (w, l, c) -> { }));
-        decisions.sendThrough(new Serving());
-        decisions.servers(ListKind.FULL, List.of(new Server(1, 0, 0, Lifecycle.READY, 1, 0)));
-        Intake intake = new Intake(site, decisions, 64, 64, loop, counters, LifecycleTest.serving(), new Transfer.Room(),
+        DecisionDriver decisions = new DecisionDriver(site, 1, loop, counters, new RateLimitedLog(loop.clock(), (w, l, c) -> { }));
+        decisions.setSender(new Serving());
+        decisions.updateServers(ListKind.FULL, List.of(new Server(1, 0, 0, Lifecycle.READY, 1, 0)));
+        Intake intake = new Intake(site, decisions, 64, 64, loop, counters, LifecycleTest.serving(), new Transfer.BufferBudget(),
                 1 << 20);
         intake.start();
         intake.listen(null);
@@ -117,17 +117,17 @@
     }
 
     /** Answers each try at once with a megabyte, which no client here reads. */
-    private static final class Serving implements TrySender {
+    private static final class Serving implements AttemptSender {
         @Override
-        public void send(Exchange.Try attempt) {
-            attempt.end(Outcome.OK, new Answer.Served(List.of(), new byte[1 << 20]));
+        public void send(Exchange.Attempt attempt) {
+            attempt.end(Outcome.OK, new Response.Served(List.of(), new byte[1 << 20]));
         }
 
         @Override
-        public void limit(Exchange.Try attempt, Duration left) { }
+        public void limitTime(Exchange.Attempt attempt, Duration left) { }
 
         @Override
-        public void cancel(Exchange.Try attempt) { }
+        public void cancel(Exchange.Attempt attempt) { }
 
         @Override
         public void closeIdle(long peer) { }
--- a/src/test/java/rowanplank/lab/client/BadClientsTest.java
+++ b/src/test/java/rowanplank/lab/client/BadClientsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import rowanplank.config.SettingsReader;
-import rowanplank.exchange.Answer;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Exchange;
-import rowanplank.exchange.Exchanges;
+import rowanplank.exchange.RequestHandler;
 import rowanplank.exchange.RequestContext;
 import rowanplank.exchange.Transfer;
 import rowanplank.intake.http.Intake;
@@ -55,13 +55,13 @@
     }
 
     /** The node's intake, and behind it somebody who serves each request after 100 ms. */
-    private final class Served implements Exchanges {
+    private final class Served implements RequestHandler {
         final Set<String> open = new TreeSet<>();
         final List<String> taken = new ArrayList<>();
 
         void begin() throws IOException {
             Intake intake = new Intake(SettingsReader.parse(SETTINGS), this, 200, 100, node, new Counters(),
-                    LifecycleTest.serving(), new Transfer.Room(), 1 << 16);
+                    LifecycleTest.serving(), new Transfer.BufferBudget(), 1 << 16);
             intake.start();
             intake.listen(stage.targets.get(0).address());
         }
@@ -72,15 +72,15 @@
             open.add(context.id());
             node.schedule(Duration.ofMillis(100), () -> {
                 open.remove(context.id());
-                client.answer(new Answer.Served(List.of(), new byte[10]));
+                client.respond(new Response.Served(List.of(), new byte[10]));
             });
             return new Exchange(0, context, client, new Exchange.Listener() {
                 @Override
-                public void tryEnded(Exchange.Try attempt, rowanplank.balancer.BalancerApi.Outcome outcome,
-                        Answer.Served served) { }
+                public void attemptEnded(Exchange.Attempt attempt, rowanplank.balancer.BalancerApi.Outcome outcome,
+                        Response.Served served) { }
 
                 @Override
-                public void departed(Exchange exchange) { }
+                public void clientLeft(Exchange exchange) { }
             });
         }
 
--- a/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
+++ b/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
@@ -32,11 +32,11 @@
 import rowanplank.config.HostList.Member;
 import rowanplank.config.SettingsReader;
 import rowanplank.config.SiteSettings;
-import rowanplank.decision.Decisions;
+import rowanplank.decision.DecisionDriver;
 import rowanplank.discovery.UpstreamGroup;
-import rowanplank.exchange.Answer;
 import rowanplank.exchange.Exchange;
 import rowanplank.exchange.RequestContext;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Transfer;
 import rowanplank.metrics.Counters;
 import rowanplank.metrics.RateLimitedLog;
@@ -183,9 +183,9 @@
         private final SiteSettings site = SettingsReader.parse(SETTINGS);
         private final UpstreamGroup group = new UpstreamGroup();
         private final List<Scripted> accepted = new ArrayList<>();
-        private final List<Answer> answers = new ArrayList<>();
+        private final List<Response> answers = new ArrayList<>();
         private final Peers peers;
-        private final Decisions decisions;
+        private final DecisionDriver decisions;
         private Heard heard;
         private InetSocketAddress address;
         private Exchange exchange;
@@ -197,13 +197,13 @@
             Loop loop = stage.client();
             Counters counters = new Counters();
             peers = new Peers(group, site.connIdle(), site.connectTimeout(), 8, loop, counters,
-                    new Transfer.Room());
+                    new Transfer.BufferBudget());
             RateLimitedLog log = new RateLimitedLog(loop.clock(), (warning, line, cause) -> { });
-            decisions = new Decisions(site, 1, loop, counters, log, (settings, seed, actions) -> {
+            decisions = new DecisionDriver(site, 1, loop, counters, log, (settings, seed, actions) -> {
                 heard = new Heard(settings, seed, actions);
                 return heard;
             });
-            decisions.sendThrough(peers);
+            decisions.setSender(peers);
             stage.run(stage.server(), () -> {
                 Loop.Listening listening = stage.server().listen(stage.any(), 50, this::accept);
                 address = listening.address();
@@ -227,7 +227,7 @@
             Server server = new Server(7, 0, 0, lifecycle, 1, 0);
             UpstreamGroup.Change change = group.apply(new HostList(1, true, List.of(new Member("s", address, server))));
             peers.groupChanged(change.outdated());
-            decisions.servers(ListKind.FULL, List.of(server));
+            decisions.updateServers(ListKind.FULL, List.of(server));
         }
 
         void ask() throws Exception {
@@ -262,15 +262,15 @@
                     awaitRest();
                     ask();
                 }
-                case CLIENT_LEAVES_AS_IT_CONNECTS -> stage.run(stage.client(), exchange::depart);
+                case CLIENT_LEAVES_AS_IT_CONNECTS -> stage.run(stage.client(), exchange::clientLeft);
                 case DRAINS_AS_IT_CONNECTS -> stage.run(stage.client(), () -> list(Lifecycle.DRAINING));
                 case CLIENT_LEAVES -> {
                     awaitAtServer();
-                    stage.run(stage.client(), exchange::depart);
+                    stage.run(stage.client(), exchange::clientLeft);
                 }
                 case ANSWERED_AFTER_CLIENT_LEFT -> {
                     awaitAtServer();
-                    stage.run(stage.client(), exchange::depart);
+                    stage.run(stage.client(), exchange::clientLeft);
                     stage.run(stage.server(), () -> accepted.get(0).say(WHOLE, () -> { }));
                 }
                 case SERVER_LEAVES_THE_LIST -> {
@@ -290,7 +290,7 @@
                 }
                 case NODE_STOPS -> {
                     awaitAtServer();
-                    stage.run(stage.client(), decisions::answerAll);
+                    stage.run(stage.client(), decisions::stop);
                 }
                 default -> { }
             }
--- a/src/test/java/rowanplank/peer/http/PeersTest.java
+++ b/src/test/java/rowanplank/peer/http/PeersTest.java
@@ -20,9 +20,9 @@
 import rowanplank.config.HostList;
 import rowanplank.config.HostList.Member;
 import rowanplank.discovery.UpstreamGroup;
-import rowanplank.exchange.Answer;
 import rowanplank.exchange.Exchange;
 import rowanplank.exchange.RequestContext;
+import rowanplank.exchange.Response;
 import rowanplank.exchange.Transfer;
 import rowanplank.metrics.Counters;
 import rowanplank.net.Clock;
@@ -35,7 +35,7 @@
     private final UpstreamGroup group = new UpstreamGroup();
     private final Peers peers =
             new Peers(group, Duration.ofSeconds(30), Duration.ofSeconds(1), 4, loop, new Counters(),
-                    new Transfer.Room());
+                    new Transfer.BufferBudget());
     private final List<Outcome> outcomes = new ArrayList<>();
     private long requests;
 
@@ -61,12 +61,12 @@
 
     private final class Noted implements Exchange.Listener {
         @Override
-        public void tryEnded(Exchange.Try attempt, Outcome outcome, Answer.Served served) {
+        public void attemptEnded(Exchange.Attempt attempt, Outcome outcome, Response.Served served) {
             outcomes.add(outcome);
         }
 
         @Override
-        public void departed(Exchange exchange) { }
+        public void clientLeft(Exchange exchange) { }
     }
 
     private static Member member(long id) {
@@ -82,7 +82,7 @@
         RequestContext context = new RequestContext("r" + ++requests, 0, false, NOW, NOW.plusSeconds(9),
                 new RequestContext.Payload("GET", "/a", List.of(), body));
         Exchange exchange = new Exchange(requests, context, a -> { }, new Noted());
-        peers.send(exchange.begin(0, peer, NOW, NOW.plusSeconds(9)));
+        peers.send(exchange.beginAttempt(0, peer, NOW, NOW.plusSeconds(9)));
         loop.run();
     }
 
