--- a/src/main/java/routerfleet/control/ControlParts.java
+++ b/src/main/java/routerfleet/control/ControlParts.java
@@ -59,13 +59,13 @@
     }
 
     /** How much is remembered of tallies. */
-    TallyBounds tallyBounds() {
-        return TallyBounds.DEFAULT;
+    TallyLimits tallyBounds() {
+        return TallyLimits.DEFAULT;
     }
 
     /** On how many disks an add to a tally has to be. */
-    TallyReach tallyReach(LocalSettings settings, ControlPeers peers) {
-        return new TallyReach(settings.toleratedHosts() + 1, settings.toleratedZones() + 1, settings.ip(),
+    TallyAckPolicy tallyReach(LocalSettings settings, ControlPeers peers) {
+        return new TallyAckPolicy(settings.toleratedHosts() + 1, settings.toleratedZones() + 1, settings.ip(),
                 settings.zone(), peers);
     }
 
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -148,7 +148,7 @@
                 () -> dataNodes.countActive(scheduler.nanoTime()) > 0, dataPlane::scheduleFlush, hints::save);
         peers.start(new PeerDialer(scheduler, network, LinkTiming.CONTROL,
                 address -> new OutgoingListener(address.host())));
-        tallies.begin();
+        tallies.start();
         learnSeeds();
         scheduler.every(FRESHNESS_MS, freshness::tick);
         scheduler.every(RECONCILE_MS, this::reconcile);
@@ -389,7 +389,7 @@
             link.timing(LinkTiming.CONTROL);
             peers.introduced(link, hello, scheduler.nanoTime());
             replicas.reachable(peers.reached());
-            tallies.reachChanged();
+            tallies.connectionsChanged();
         } else {
             receivedOfTallies(link, message);
         }
@@ -457,7 +457,7 @@
             link.send(new PeerMessage.Sessions(0, table.records()));
             replicas.reconnected(ip);
             replicas.reachable(peers.reached());
-            tallies.opened(link);
+            tallies.connected(link);
         }
 
         @Override
@@ -472,7 +472,7 @@
         @Override
         public void closed(PeerLink link) {
             peers.outgoingClosed(ip, link);
-            tallies.reachChanged();
+            tallies.connectionsChanged();
         }
     }
 
@@ -491,7 +491,7 @@
         @Override
         public void closed(PeerLink link) {
             peers.incomingClosed(link, scheduler.nanoTime());
-            tallies.reachChanged();
+            tallies.connectionsChanged();
             dataNodes.close(link);
         }
     }
--- a/src/main/java/routerfleet/control/TallyAdds.java
+++ b/src/main/java/routerfleet/control/PendingTallyAdds.java
@@ -14,7 +14,7 @@
  * Adds to tallies that wait for their acknowledgement. One is answered 200 once its entry is on enough disks, 503 where it
  * is known that nothing was done, and 504 where neither is known in time: the caller is to ask again, here or elsewhere.
  */
-final class TallyAdds {
+final class PendingTallyAdds {
     private static final long MOST_WAIT_MS = 900;
     private static final int MOST_WAITING = 4_096;
     private static final int MOST_CALLERS = 64;
@@ -26,7 +26,7 @@
     private static final class Waiting {
         private final Key key;
         private final List<Consumer<ControlHttp.Response>> callers = new ArrayList<>(1);
-        private TallyCommits.Add commit;
+        private TallyWriter.QueuedAdd commit;
         private boolean begun;
         private JournalEntry entry;
 
@@ -36,18 +36,18 @@
     }
 
     private final Scheduler scheduler;
-    private final TallyCommits commits;
+    private final TallyWriter commits;
     private final Predicate<JournalEntry> isOnEnoughDisks;
     private final Map<Key, Waiting> all = new HashMap<>();
 
-    TallyAdds(Scheduler scheduler, TallyCommits commits, Predicate<JournalEntry> isOnEnoughDisks) {
+    PendingTallyAdds(Scheduler scheduler, TallyWriter commits, Predicate<JournalEntry> isOnEnoughDisks) {
         this.scheduler = scheduler;
         this.commits = commits;
         this.isOnEnoughDisks = isOnEnoughDisks;
     }
 
     /** Whether an add with that uid waits here. */
-    boolean waits(String tally, String uid) {
+    boolean isPending(String tally, String uid) {
         return all.containsKey(new Key(tally, uid));
     }
 
@@ -68,19 +68,19 @@
     /** Takes a new add. */
     void add(String tally, TallyJson.Add told, Consumer<ControlHttp.Response> caller) {
         Waiting waiting = begin(tally, told.uid(), caller);
-        waiting.commit = new TallyCommits.Add(tally, told.uid(), told.amount(), () -> waiting.begun = true, entry -> {
+        waiting.commit = new TallyWriter.QueuedAdd(tally, told.uid(), told.amount(), () -> waiting.begun = true, entry -> {
             waiting.entry = entry;
-            check(waiting);
+            completeDurable(waiting);
         }, () -> end(waiting, ControlHttp.Response.refusal("the disk takes no adds now")));
         commits.add(waiting.commit);
     }
 
     /** Waits until an entry that is held here is on enough disks. */
-    void repeat(JournalEntry entry, Consumer<ControlHttp.Response> caller) {
+    void awaitExisting(JournalEntry entry, Consumer<ControlHttp.Response> caller) {
         Waiting waiting = begin(entry.tally(), entry.uid(), caller);
         waiting.begun = true;
         waiting.entry = entry;
-        check(waiting);
+        completeDurable(waiting);
     }
 
     private Waiting begin(String tally, String uid, Consumer<ControlHttp.Response> caller) {
@@ -92,11 +92,11 @@
     }
 
     /** Looks again which adds are on enough disks. */
-    void check() {
-        List.copyOf(all.values()).forEach(this::check);
+    void completeDurable() {
+        List.copyOf(all.values()).forEach(this::completeDurable);
     }
 
-    private void check(Waiting waiting) {
+    private void completeDurable(Waiting waiting) {
         if (waiting.entry != null && isOnEnoughDisks.test(waiting.entry)) {
             end(waiting, ControlHttp.Response.ok());
         }
--- a/src/main/java/routerfleet/control/TallyReach.java
+++ b/src/main/java/routerfleet/control/TallyAckPolicy.java
@@ -13,7 +13,7 @@
  * few connected for {@value #SILENT_MS} ms without a break: processes that restart are back by then, so this is not taken
  * for a cut. As soon as enough are connected again, the full number holds.
  */
-class TallyReach {
+class TallyAckPolicy {
     private static final System.Logger LOG = routerfleet.log.Loggers.get("routerfleet.control.tallies");
     private static final long SETTLED_MS = 4_000;
     private static final long SILENT_MS = 2_000;
@@ -32,7 +32,7 @@
     private boolean cutOff;
 
     /** @param copies disks that have to hold an add; @param zones in which they have to stand */
-    TallyReach(int copies, int zones, String selfIp, String selfZone, ControlPeers peers) {
+    TallyAckPolicy(int copies, int zones, String selfIp, String selfZone, ControlPeers peers) {
         this.copies = copies;
         this.zones = zones;
         this.selfIp = selfIp;
@@ -41,7 +41,7 @@
     }
 
     /** Begins to count times. */
-    void begin(long nowNanos) {
+    void start(long nowNanos) {
         startedNanos = nowNanos;
         fewSinceNanos = nowNanos;
         noneSinceNanos = nowNanos;
@@ -59,8 +59,8 @@
             noneSinceNanos = nowNanos;
         }
         none = noneNow;
-        boolean cutOffNow = few && millis(nowNanos - fewSinceNanos) >= silentMs()
-                && millis(nowNanos - startedNanos) >= settledMs();
+        boolean cutOffNow = few && millis(nowNanos - fewSinceNanos) >= minOutageMs()
+                && millis(nowNanos - startedNanos) >= minUptimeMs();
         if (cutOffNow != cutOff) {
             cutOff = cutOffNow;
             LOG.log(System.Logger.Level.WARNING, cutOff
@@ -70,12 +70,12 @@
     }
 
     /** For how long too few have to be missing. */
-    long silentMs() {
+    long minOutageMs() {
         return SILENT_MS;
     }
 
     /** How long this node has to be up. */
-    long settledMs() {
+    long minUptimeMs() {
         return SETTLED_MS;
     }
 
@@ -95,12 +95,12 @@
     }
 
     /** Whether no other node has been connected for so long. */
-    boolean isAloneFor(long ms, long nowNanos) {
+    boolean isIsolatedFor(long ms, long nowNanos) {
         return none && millis(nowNanos - noneSinceNanos) >= ms;
     }
 
     /** Whether an add may be acknowledged. @param others the nodes that hold it on disk, beside this one */
-    boolean suffices(Set<String> others) {
+    boolean isDurable(Set<String> others) {
         return isFull(others) || cutOff && others.containsAll(peers.reached());
     }
 
--- a/src/main/java/routerfleet/control/TallyJson.java
+++ b/src/main/java/routerfleet/control/TallyJson.java
@@ -8,9 +8,9 @@
 
 /** An add to a tally as it is sent: {@code uid} names it, {@code owner} is the amount. Read token by token. */
 final class TallyJson {
-    static final int MOST_UID_LENGTH = 128;
+    static final int MAX_UID_LENGTH = 128;
     /** An amount up to which the total of a tally can't overflow before 2^23 adds. */
-    static final long MOST_AMOUNT = 1L << 40;
+    static final long MAX_AMOUNT = 1L << 40;
     private static final JsonFactory JSON = new JsonFactory();
 
     /** What an add says. */
@@ -59,11 +59,11 @@
     }
 
     private Either<String, Add> checked() {
-        if (uid == null || uid.isEmpty() || uid.length() > MOST_UID_LENGTH) {
-            return Either.left("uid is to have 1 to " + MOST_UID_LENGTH + " characters");
+        if (uid == null || uid.isEmpty() || uid.length() > MAX_UID_LENGTH) {
+            return Either.left("uid is to have 1 to " + MAX_UID_LENGTH + " characters");
         }
-        if (amount == null || amount < 0 || amount > MOST_AMOUNT) {
-            return Either.left("owner is to be a whole number from 0 to " + MOST_AMOUNT);
+        if (amount == null || amount < 0 || amount > MAX_AMOUNT) {
+            return Either.left("owner is to be a whole number from 0 to " + MAX_AMOUNT);
         }
         return Either.right(new Add(uid, amount));
     }
--- a/src/main/java/routerfleet/control/TallyCopies.java
+++ b/src/main/java/routerfleet/control/TallyReplicaProgress.java
@@ -9,7 +9,7 @@
 import routerfleet.journal.Origin;
 
 /** What other control nodes have told to hold of the journal on their disks. */
-final class TallyCopies {
+final class TallyReplicaProgress {
     /**
      * What is known of one node.
      *
@@ -21,7 +21,7 @@
     private final Map<String, Holder> holders = new TreeMap<>();
 
     /** A node tells all that its disk holds; what it told on another connection may go further. */
-    void learn(Origin holder, JournalVector held) {
+    void update(Origin holder, JournalVector held) {
         Holder known = holders.get(holder.node());
         SortedMap<Origin, Long> upTo = new TreeMap<>(held.upTo());
         if (known != null && known.disk().equals(holder)) {
@@ -31,7 +31,7 @@
     }
 
     /** A node tells that its disk holds more of an origin; what an earlier disk of it tells late is passed over. */
-    void learn(Origin holder, Origin origin, long upTo) {
+    void update(Origin holder, Origin origin, long upTo) {
         Holder known = holders.get(holder.node());
         if (known != null && known.disk().equals(holder)) {
             known.upTo().merge(origin, upTo, Math::max);
@@ -39,12 +39,12 @@
     }
 
     /** Gives up all nodes but these. */
-    void keep(Set<String> nodes) {
+    void retainNodes(Set<String> nodes) {
         holders.keySet().retainAll(nodes);
     }
 
     /** What a node holds; nothing where it has not told. */
-    JournalVector of(String node) {
+    JournalVector vectorOf(String node) {
         Holder known = holders.get(node);
         return known == null ? JournalVector.EMPTY : new JournalVector(known.upTo());
     }
@@ -69,7 +69,7 @@
     }
 
     /** Which other nodes hold an entry. */
-    Set<String> holding(Origin origin, long number) {
+    Set<String> holdersOf(Origin origin, long number) {
         Set<String> all = new TreeSet<>();
         holders.forEach((node, holder) -> {
             if (holder.upTo().getOrDefault(origin, 0L) >= number) {
--- a/src/main/java/routerfleet/control/TallyService.java
+++ b/src/main/java/routerfleet/control/TallyService.java
@@ -24,7 +24,7 @@
  * Tallies: counters that every control node adds to and reads, whichever others it reaches. Each node keeps a journal of
  * the adds that it has taken, sends new entries to all others, and exchanges by vectors what a connection that was lost
  * has kept from them; entries of third nodes are passed on too. An add is acknowledged once its entry is on enough disks
- * ({@link TallyReach}). Design and argument: docs/tallies.md. For the node's thread but for {@link #load}.
+ * ({@link TallyAckPolicy}). Design and argument: docs/tallies.md. For the node's thread but for {@link #load}.
  */
 final class TallyService {
     private static final long TICK_MS = 250;
@@ -45,13 +45,13 @@
     private final Scheduler scheduler;
     private final ControlPeers peers;
     private final TallyStorage storage;
-    private final TallyBounds bounds;
+    private final TallyLimits bounds;
     private final Journal journal = new Journal();
-    private final TallyCopies copies = new TallyCopies();
-    private final TallyReach reach;
+    private final TallyReplicaProgress copies = new TallyReplicaProgress();
+    private final TallyAckPolicy reach;
     private Origin self;
-    private TallyCommits commits;
-    private TallyAdds adds;
+    private TallyWriter commits;
+    private PendingTallyAdds adds;
     /** Whether the disk held a journal, or there was none anywhere, or another filled node has given what it holds. */
     private boolean filled;
     private final boolean firstStart;
@@ -63,7 +63,7 @@
     private final TreeMap<String, JournalVector> told = new TreeMap<>();
 
     TallyService(LocalSettings settings, Scheduler scheduler, ControlPeers peers, TallyStorage storage,
-            TallyBounds bounds, TallyReach reach) {
+            TallyLimits bounds, TallyAckPolicy reach) {
         this.bounds = bounds;
         firstStart = settings.bootstrap();
         this.ip = settings.ip();
@@ -100,14 +100,14 @@
     }
 
     /** Begins, with what was loaded. */
-    void begin() {
-        reach.begin(scheduler.nanoTime());
+    void start() {
+        reach.start(scheduler.nanoTime());
         askedMs = scheduler.millis() - ASK_AGAIN_MS;
-        commits = new TallyCommits(scheduler, storage, journal, bounds, self,
+        commits = new TallyWriter(scheduler, storage, journal, bounds, self,
                 entries -> peers.sendToAll(new PeerMessage.TallyEntries(entries, false, false, filled)));
-        adds = new TallyAdds(scheduler, commits,
-                entry -> reach.suffices(copies.holding(entry.origin(), entry.number())));
-        commits.begin(() -> {
+        adds = new PendingTallyAdds(scheduler, commits,
+                entry -> reach.isDurable(copies.holdersOf(entry.origin(), entry.number())));
+        commits.start(() -> {
             ready = true;
             peers.sendToAll(ask());
         });
@@ -138,7 +138,7 @@
     }
 
     private void read(String tally, Consumer<ControlHttp.Response> answer) {
-        if (!filled && !reach.isAloneFor(ALONE_MS, scheduler.nanoTime())) {
+        if (!filled && !reach.isIsolatedFor(ALONE_MS, scheduler.nanoTime())) {
             answer.accept(ControlHttp.Response.refusal("an empty disk: no other control node has told its tallies yet"));
             return;
         }
@@ -154,15 +154,15 @@
         }
         String uid = told.get().uid();
         JournalEntry held = journal.find(tally, uid);
-        if (adds.waits(tally, uid)) {
+        if (adds.isPending(tally, uid)) {
             adds.join(tally, uid, answer);
         } else if (adds.isFull()) {
             answer.accept(ControlHttp.Response.refusal("too many adds wait"));
         } else if (held != null) {
-            adds.repeat(held, answer);
-        } else if (!journal.knows(tally) && journal.tallies() >= bounds.tallies()) {
-            answer.accept(ControlHttp.Response.error(UNPROCESSABLE, "there are " + bounds.tallies() + " tallies already"));
-        } else if (journal.size() >= bounds.addable() || journal.last(self) == 0 && journal.origins() >= bounds.origins()) {
+            adds.awaitExisting(held, answer);
+        } else if (!journal.knows(tally) && journal.tallies() >= bounds.maxTallies()) {
+            answer.accept(ControlHttp.Response.error(UNPROCESSABLE, "there are " + bounds.maxTallies() + " tallies already"));
+        } else if (journal.size() >= bounds.maxEntriesForAdds() || journal.last(self) == 0 && journal.origins() >= bounds.maxOrigins()) {
             answer.accept(ControlHttp.Response.refusal("too many adds are not known to all control nodes yet"));
         } else if (!ready || commits.isStalled()) {
             answer.accept(ControlHttp.Response.refusal("the disk takes no adds now"));
@@ -176,23 +176,23 @@
     // ---- other control nodes
 
     /** A connection that this node opened is up, and introduced. */
-    void opened(PeerLink link) {
+    void connected(PeerLink link) {
         if (ready) {
             link.send(ask());
         }
-        reachChanged();
+        connectionsChanged();
     }
 
     /** Which nodes are connected may have changed. */
-    void reachChanged() {
+    void connectionsChanged() {
         reach.update(scheduler.nanoTime());
-        adds.check();
+        adds.completeDurable();
     }
 
     /** Another node tells what it holds: it gets what it lacks. */
     void received(PeerLink link, PeerMessage.TallyVector vector) {
-        copies.learn(vector.holder(), vector.held());
-        adds.check();
+        copies.update(vector.holder(), vector.held());
+        adds.completeDurable();
         if (!ready) {
             return;
         }
@@ -237,8 +237,8 @@
 
     /** Another node has entries on its disk. */
     void received(PeerMessage.TallyHeld held) {
-        copies.learn(held.holder(), held.origin(), held.upTo());
-        adds.check();
+        copies.update(held.holder(), held.origin(), held.upTo());
+        adds.completeDurable();
     }
 
     /** Another node's bases, where this node lacks what was folded into them. */
@@ -247,17 +247,17 @@
     }
 
     private void tick() {
-        reachChanged();
+        connectionsChanged();
         evenTick = !evenTick;
         if (!ready || !evenTick) {
             return;
         }
         JournalVector now = journal.vector();
         Set<String> known = new TreeSet<>(peers.known());
-        copies.keep(known);
+        copies.retainNodes(known);
         told.keySet().retainAll(known);
         for (String peer : known) {
-            boolean differs = !filled || !now.equals(copies.of(peer)) || !now.equals(told.get(peer));
+            boolean differs = !filled || !now.equals(copies.vectorOf(peer)) || !now.equals(told.get(peer));
             if (differs && peers.send(peer, new PeerMessage.TallyVector(self, now, !filled))) {
                 told.put(peer, now);
             }
@@ -268,9 +268,9 @@
 
     /** What all hold is folded, so that the journal keeps a bounded number of entries. */
     private void foldOldest(Set<String> known, JournalVector now) {
-        if (journal.size() > bounds.remembered()) {
+        if (journal.size() > bounds.foldThreshold()) {
             known.remove(ip);
-            journal.fold(copies.heldByAll(known, now), bounds.remembered());
+            journal.fold(copies.heldByAll(known, now), bounds.foldThreshold());
         }
     }
 }
--- a/src/main/java/routerfleet/control/TallyStorage.java
+++ b/src/main/java/routerfleet/control/TallyStorage.java
@@ -134,7 +134,7 @@
      * @param snapshot written before the first record where the disk is empty
      * @param done run on the loop
      */
-    void begin(byte[] snapshot, Runnable done) {
+    void start(byte[] snapshot, Runnable done) {
         initial = snapshot;
         if (file == null) {
             loop.execute(done);
--- a/src/main/java/routerfleet/control/TallyCommits.java
+++ b/src/main/java/routerfleet/control/TallyWriter.java
@@ -19,7 +19,7 @@
  * Puts adds, and entries of other nodes, on disk and then into the journal: all that waits goes into one record with one
  * sync. So the journal holds only what outlives a loss of power, and an own number is given away only once it is synced.
  */
-final class TallyCommits {
+final class TallyWriter {
     private static final int MOST_ADDS = 4_096;
     private static final int MOST_ENTRIES = 16_384;
     /** A disk whose write has not come back for so long is taken for one that hangs. */
@@ -29,21 +29,21 @@
     /**
      * An add that waits for the disk.
      *
-     * @param begun run as its write begins
-     * @param stored told its entry once it is in the journal
-     * @param refused run where nothing of it was done
+     * @param onWriteStarted run as its write begins
+     * @param onStored told its entry once it is in the journal
+     * @param onRefused run where nothing of it was done
      */
-    record Add(String tally, String uid, long amount, Runnable begun, Consumer<JournalEntry> stored, Runnable refused) { }
+    record QueuedAdd(String tally, String uid, long amount, Runnable onWriteStarted, Consumer<JournalEntry> onStored, Runnable onRefused) { }
 
     private record Foreign(List<JournalEntry> entries, Runnable stored) { }
 
     private final Scheduler scheduler;
     private final TallyStorage storage;
     private final Journal journal;
-    private final TallyBounds bounds;
+    private final TallyLimits bounds;
     private final Origin self;
     private final Consumer<List<JournalEntry>> ownStored;
-    private Deque<Add> adds = new ArrayDeque<>();
+    private Deque<QueuedAdd> adds = new ArrayDeque<>();
     private Deque<Foreign> foreign = new ArrayDeque<>();
     private int foreignEntries;
     private List<OriginState> bases;
@@ -54,7 +54,7 @@
     private long snapshotBytes;
 
     /** @param ownStored told this node's new entries once they are in the journal */
-    TallyCommits(Scheduler scheduler, TallyStorage storage, Journal journal, TallyBounds bounds, Origin self,
+    TallyWriter(Scheduler scheduler, TallyStorage storage, Journal journal, TallyLimits bounds, Origin self,
             Consumer<List<JournalEntry>> ownStored) {
         this.bounds = bounds;
         this.scheduler = scheduler;
@@ -65,9 +65,9 @@
     }
 
     /** Begins to write. @param ready run once what was read is known to be on disk */
-    void begin(Runnable ready) {
+    void start(Runnable ready) {
         writingSinceNanos = scheduler.nanoTime();
-        storage.begin(JournalForm.storedState(self, journal.state()), () -> {
+        storage.start(JournalForm.storedState(self, journal.state()), () -> {
             writing = false;
             ready.run();
             next();
@@ -80,19 +80,19 @@
         return hangs || adds.size() >= MOST_ADDS;
     }
 
-    void add(Add add) {
+    void add(QueuedAdd add) {
         adds.add(add);
         next();
     }
 
     /** Gives up an add. @return whether its write has not begun: nothing of it was done */
-    boolean cancel(Add add) {
+    boolean cancel(QueuedAdd add) {
         return adds.remove(add);
     }
 
     /** Takes entries of other nodes. @param stored run once they are in the journal; not where they can't be taken now */
     void merge(List<JournalEntry> entries, Runnable stored) {
-        boolean fits = journal.size() + foreignEntries + entries.size() <= bounds.mergeable();
+        boolean fits = journal.size() + foreignEntries + entries.size() <= bounds.maxEntriesForMerges();
         if (foreignEntries + entries.size() <= MOST_ENTRIES && fits) {
             foreign.add(new Foreign(entries, stored));
             foreignEntries += entries.size();
@@ -160,17 +160,17 @@
     }
 
     private void refuseWaiting() {
-        Deque<Add> refused = adds;
+        Deque<QueuedAdd> refused = adds;
         adds = new ArrayDeque<>();
-        refused.forEach(add -> add.refused().run());
+        refused.forEach(add -> add.onRefused().run());
     }
 
     private void writeWaiting() {
-        List<Add> own = unknown();
+        List<QueuedAdd> own = unknown();
         List<Foreign> others = List.copyOf(foreign);
         foreign = new ArrayDeque<>();
         foreignEntries = 0;
-        own.forEach(add -> add.begun().run());
+        own.forEach(add -> add.onWriteStarted().run());
         List<JournalEntry> ownEntries = numbered(own);
         List<JournalEntry> all = new ArrayList<>(following(others));
         all.addAll(ownEntries);
@@ -185,32 +185,32 @@
                 all.forEach(journal::append);
                 taken(own, ownEntries, others);
             } else {
-                own.forEach(add -> add.refused().run());
+                own.forEach(add -> add.onRefused().run());
             }
             next();
         });
     }
 
     /** The adds that wait, but for those whose uid has come from another node meanwhile: these are held already. */
-    private List<Add> unknown() {
-        Deque<Add> waiting = adds;
+    private List<QueuedAdd> unknown() {
+        Deque<QueuedAdd> waiting = adds;
         adds = new ArrayDeque<>();
-        List<Add> own = new ArrayList<>();
-        for (Add add : waiting) {
+        List<QueuedAdd> own = new ArrayList<>();
+        for (QueuedAdd add : waiting) {
             JournalEntry held = journal.find(add.tally(), add.uid());
             if (held == null) {
                 own.add(add);
             } else {
-                add.begun().run();
-                add.stored().accept(held);
+                add.onWriteStarted().run();
+                add.onStored().accept(held);
             }
         }
         return own;
     }
 
-    private void taken(List<Add> own, List<JournalEntry> ownEntries, List<Foreign> others) {
+    private void taken(List<QueuedAdd> own, List<JournalEntry> ownEntries, List<Foreign> others) {
         for (int i = 0; i < own.size(); i++) {
-            own.get(i).stored().accept(ownEntries.get(i));
+            own.get(i).onStored().accept(ownEntries.get(i));
         }
         if (!ownEntries.isEmpty()) {
             ownStored.accept(ownEntries);
@@ -218,10 +218,10 @@
         others.forEach(other -> other.stored().run());
     }
 
-    private List<JournalEntry> numbered(List<Add> own) {
+    private List<JournalEntry> numbered(List<QueuedAdd> own) {
         List<JournalEntry> entries = new ArrayList<>(own.size());
         long number = journal.last(self);
-        for (Add add : own) {
+        for (QueuedAdd add : own) {
             entries.add(new JournalEntry(self, ++number, add.tally(), add.uid(), add.amount()));
         }
         return entries;
@@ -234,7 +234,7 @@
         for (Foreign other : others) {
             for (JournalEntry entry : other.entries()) {
                 long before = last.computeIfAbsent(entry.origin(), journal::last);
-                boolean fits = before > 0 || journal.origins() < bounds.origins();
+                boolean fits = before > 0 || journal.origins() < bounds.maxOrigins();
                 if (entry.number() == before + 1 && fits && !entry.origin().equals(self)) {
                     taken.add(entry);
                     last.put(entry.origin(), entry.number());
--- a/src/test/java/routerfleet/control/EvacuationHistory.java
+++ b/src/test/java/routerfleet/control/EvacuationHistory.java
@@ -9,12 +9,12 @@
 /** What operators ordered about evacuations, one order after the other for each zone, and whether a state fits that. */
 final class EvacuationHistory {
     /** An order; times are on the world's clock in nanoseconds. */
-    static final class Order {
+    static final class Request {
         private final boolean start;
         private final long sentNanos;
         private long acknowledgedNanos = Long.MAX_VALUE;
 
-        Order(boolean start, long sentNanos) {
+        Request(boolean start, long sentNanos) {
             this.start = start;
             this.sentNanos = sentNanos;
         }
@@ -32,18 +32,18 @@
         }
     }
 
-    private final Map<String, List<Order>> orders = new TreeMap<>();
+    private final Map<String, List<Request>> orders = new TreeMap<>();
 
-    Order sent(String zone, boolean start, long nanos) {
-        Order order = new Order(start, nanos);
+    Request recordRequest(String zone, boolean start, long nanos) {
+        Request order = new Request(start, nanos);
         orders.computeIfAbsent(zone, z -> new ArrayList<>()).add(order);
         return order;
     }
 
     /** The last order about a zone, if it was acknowledged; else null: what holds is open. */
-    Order settled(String zone) {
-        List<Order> all = orders.getOrDefault(zone, List.of());
-        Order last = all.isEmpty() ? null : all.get(all.size() - 1);
+    Request lastAcknowledged(String zone) {
+        List<Request> all = orders.getOrDefault(zone, List.of());
+        Request last = all.isEmpty() ? null : all.get(all.size() - 1);
         return last == null || last.acknowledgedNanos == Long.MAX_VALUE ? null : last;
     }
 
@@ -53,8 +53,8 @@
     }
 
     /** Why a read state can't be; null where it can. @param asked when it was asked for, @param told when it was told */
-    String wrong(Set<String> zones, long asked, long told) {
-        for (Map.Entry<String, List<Order>> of : orders.entrySet()) {
+    String violation(Set<String> zones, long asked, long told) {
+        for (Map.Entry<String, List<Request>> of : orders.entrySet()) {
             boolean shown = zones.contains(of.getKey());
             if (!possible(of.getValue(), asked, told).contains(shown)) {
                 return "zone " + of.getKey() + (shown ? " evacuated" : " not evacuated") + ", read from "
@@ -65,9 +65,9 @@
     }
 
     /** What holds after the last order acknowledged before the question, and what later ones may have made of it. */
-    private static List<Boolean> possible(List<Order> all, long asked, long told) {
+    private static List<Boolean> possible(List<Request> all, long asked, long told) {
         List<Boolean> possible = new ArrayList<>(List.of(false));
-        for (Order order : all) {
+        for (Request order : all) {
             if (order.acknowledgedNanos < asked) {
                 possible.clear();
             }
--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -108,7 +108,7 @@
     }
 
     /** Plays it. @return the first thing that was wrong; null where nothing was */
-    String play() {
+    String run() {
         begin();
         EVACUATED.forEach(zone -> world.afterMs(1_500 + random.nextInt(500), () -> order(zone)));
         world.afterMs(1_500, this::read);
@@ -195,13 +195,13 @@
 
     /** Gives the next order about a zone, most often the opposite of the last one. */
     private void order(String zone) {
-        EvacuationHistory.Order last = history.settled(zone);
+        EvacuationHistory.Request last = history.lastAcknowledged(zone);
         boolean opposite = random.nextInt(5) > 0;
         boolean start = last == null ? random.nextBoolean() : last.start() != opposite;
-        send(zone, history.sent(zone, start, world.nowNanos()), world.nowMs() + RESEND_MS);
+        send(zone, history.recordRequest(zone, start, world.nowNanos()), world.nowMs() + RESEND_MS);
     }
 
-    private void send(String zone, EvacuationHistory.Order order, long untilMs) {
+    private void send(String zone, EvacuationHistory.Request order, long untilMs) {
         http.call(any(), SimulatedHttp.request("POST", path(zone, order.start()), "", ""), answer -> {
             if (answer.status() == 200) {
                 order.acknowledged(world.nowNanos());
@@ -221,7 +221,7 @@
             if (answer.status() == 200) {
                 Set<String> zones = new TreeSet<>();
                 EVACUATED.stream().filter(zone -> answer.body().contains("\"" + zone + "\"")).forEach(zones::add);
-                found(history.wrong(zones, asked, world.nowNanos()));
+                found(history.violation(zones, asked, world.nowNanos()));
             }
         });
         world.afterMs(30 + random.nextInt(100), this::read);
@@ -247,7 +247,7 @@
     }
 
     private void check(Node node, String zone, long now) {
-        EvacuationHistory.Order order = history.settled(zone);
+        EvacuationHistory.Request order = history.lastAcknowledged(zone);
         if (order == null || node.client == null) {
             return;
         }
--- a/src/test/java/routerfleet/control/EvacuationSimulationTest.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulationTest.java
@@ -20,7 +20,7 @@
         int acknowledged = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             EvacuationSimulation play = new EvacuationSimulation(seed, PlantedFault.NONE);
-            assertThat("seed " + seed, play.play(), is(nullValue()));
+            assertThat("seed " + seed, play.run(), is(nullValue()));
             acknowledged += play.acknowledged();
         }
         assertThat(acknowledged, is(greaterThan(SEEDS * 10)));
@@ -28,7 +28,7 @@
 
     private static String found(PlantedFault fault) {
         for (long seed = 1; seed <= MOST_SEEDS; seed++) {
-            String wrong = new EvacuationSimulation(seed, fault).play();
+            String wrong = new EvacuationSimulation(seed, fault).run();
             if (wrong != null) {
                 return "seed " + seed + ": " + wrong;
             }
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -128,8 +128,8 @@
             case POWER_EVERYTHING -> powerEverything(fault.forMs() / 3);
             case BEHIND -> behind(fault);
             case ANSWERS_LOST -> {
-                http.loseAnswers(0.6);
-                later(fault.forMs(), () -> http.loseAnswers(0));
+                http.dropResponses(0.6);
+                later(fault.forMs(), () -> http.dropResponses(0));
             }
             case SLOW_LINK -> {
                 network.slow(machine.ip, SLOW_NANOS_A_BYTE);
--- a/src/test/java/routerfleet/control/FaultyParts.java
+++ b/src/test/java/routerfleet/control/FaultyParts.java
@@ -44,18 +44,18 @@
     }
 
     @Override
-    TallyReach tallyReach(LocalSettings settings, ControlPeers peers) {
+    TallyAckPolicy tallyReach(LocalSettings settings, ControlPeers peers) {
         int fewer = fault == PlantedFault.TALLY_ON_ONE_DISK_TOO_FEW ? 1 : 0;
-        return new TallyReach(settings.toleratedHosts() + 1 - fewer, settings.toleratedZones() + 1 - fewer,
+        return new TallyAckPolicy(settings.toleratedHosts() + 1 - fewer, settings.toleratedZones() + 1 - fewer,
                 settings.ip(), settings.zone(), peers) {
             @Override
-            long silentMs() {
-                return fault == PlantedFault.TALLY_CUT_OFF_AT_ONCE ? 0 : super.silentMs();
+            long minOutageMs() {
+                return fault == PlantedFault.TALLY_CUT_OFF_AT_ONCE ? 0 : super.minOutageMs();
             }
 
             @Override
-            long settledMs() {
-                return fault == PlantedFault.TALLY_CUT_OFF_AFTER_A_START ? 0 : super.settledMs();
+            long minUptimeMs() {
+                return fault == PlantedFault.TALLY_CUT_OFF_AFTER_A_START ? 0 : super.minUptimeMs();
             }
         };
     }
--- a/src/test/java/routerfleet/control/FaultyTallyAnswers.java
+++ b/src/test/java/routerfleet/control/FaultyTallyResponses.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Answers to calls of tallies with a planted fault. */
-final class FaultyTallyAnswers implements ControlHttp.Handler {
+final class FaultyTallyResponses implements ControlHttp.Handler {
     private static final int RARELY = 20;
     private static final int UNCLEAR = 504;
 
@@ -14,7 +14,7 @@
     private final Map<String, ControlHttp.Response> before = new HashMap<>();
     private int taken;
 
-    FaultyTallyAnswers(PlantedFault fault, ControlHttp.Handler real) {
+    FaultyTallyResponses(PlantedFault fault, ControlHttp.Handler real) {
         this.fault = fault;
         this.real = real;
     }
--- a/src/test/java/routerfleet/control/PlantedFault.java
+++ b/src/test/java/routerfleet/control/PlantedFault.java
@@ -110,7 +110,7 @@
     /** The HTTP handler with this fault. */
     ControlHttp.Handler handler(ControlHttp.Handler real) {
         if (isOfTallies()) {
-            return new FaultyTallyAnswers(this, real);
+            return new FaultyTallyResponses(this, real);
         }
         int told = this == UNCLEAR_TOLD_AS_TAKEN ? 200 : this == UNCLEAR_TOLD_AS_REFUSED ? 412 : 0;
         if (told == 0) {
@@ -124,7 +124,7 @@
     /** The HTTP side of a connection with this fault. */
     void install(ChannelPipeline pipeline, ControlHttp.Handler handler) {
         if (this == ANSWERED_AS_DONE) {
-            DisorderedHttp.install(pipeline, handler);
+            UnorderedHttp.install(pipeline, handler);
         } else {
             ControlHttp.install(pipeline, handler);
         }
--- a/src/test/java/routerfleet/control/SimulatedClients.java
+++ b/src/test/java/routerfleet/control/SimulatedClients.java
@@ -97,7 +97,7 @@
         long sent = world.nowNanos();
         boolean two = random.nextInt(4) == 0;
         http.call(machine, two ? List.of(GET, NOWHERE) : List.of(GET), answers -> {
-            SimulatedHttp.Answer answer = answers.get(0);
+            SimulatedHttp.Response answer = answers.get(0);
             if (answer.status() == 404 || two && answers.get(1).status() != 404 && answers.get(1).status() != 0) {
                 seen.violations.add("the answer to another request came at " + machine.ip);
             }
@@ -105,7 +105,7 @@
         });
     }
 
-    private long observe(SimulatedMachine machine, long sent, SimulatedHttp.Answer answer) {
+    private long observe(SimulatedMachine machine, long sent, SimulatedHttp.Response answer) {
         Matcher matcher = GENERATION.matcher(answer.body());
         if (answer.status() != 200 || !matcher.find()) {
             return -1;
@@ -222,7 +222,7 @@
             }
         }
 
-        private void answered(boolean drains, SimulatedHttp.Answer answer) {
+        private void answered(boolean drains, SimulatedHttp.Response answer) {
             if (ended) {
                 return;
             }
--- a/src/test/java/routerfleet/control/SimulatedHttp.java
+++ b/src/test/java/routerfleet/control/SimulatedHttp.java
@@ -22,26 +22,26 @@
     private static final int MOST_RETRANSMISSION_MS = 8_000;
 
     /** Whether something gets from one place to another: callers' places and machines' addresses. */
-    interface Ways {
-        boolean passes(String from, String to);
+    interface Links {
+        boolean canReach(String from, String to);
     }
 
     /** An answer; status 0 where none came in time. */
-    record Answer(int status, String body) {
-        static final Answer NONE = new Answer(0, "");
+    record Response(int status, String body) {
+        static final Response NONE = new Response(0, "");
     }
 
     private final VirtualWorld world;
     private final Random random;
     private final PlantedFault fault;
-    private final Ways ways;
+    private final Links ways;
     private double lostAnswers;
 
     SimulatedHttp(VirtualWorld world, long seed, PlantedFault fault) {
         this(world, seed, fault, (from, to) -> true);
     }
 
-    SimulatedHttp(VirtualWorld world, long seed, PlantedFault fault, Ways ways) {
+    SimulatedHttp(VirtualWorld world, long seed, PlantedFault fault, Links ways) {
         this.ways = ways;
         this.fault = fault;
         this.world = world;
@@ -49,7 +49,7 @@
     }
 
     /** So large a part of the answers is lost from now on. */
-    void loseAnswers(double part) {
+    void dropResponses(double part) {
         lostAnswers = part;
     }
 
@@ -59,14 +59,14 @@
     }
 
     /** Sends requests in one segment. @param answers given as many answers as requests were sent, in their order */
-    void call(SimulatedMachine machine, List<String> requests, Consumer<List<Answer>> answers) {
+    void call(SimulatedMachine machine, List<String> requests, Consumer<List<Response>> answers) {
         Call call = new Call(requests.size(), answers);
         world.afterMs(TIMEOUT_MS, call::finish);
         world.afterMs(1 + random.nextInt(2), () -> deliver(machine, String.join("", requests), call));
     }
 
     /** Sends one request from a place; what a cut swallows on its way may come through later. */
-    void callFrom(String place, SimulatedMachine machine, String request, Consumer<Answer> answer) {
+    void callFrom(String place, SimulatedMachine machine, String request, Consumer<Response> answer) {
         Call call = new Call(1, answers -> answer.accept(answers.get(0)));
         call.place = place;
         world.afterMs(TIMEOUT_MS, call::finish);
@@ -74,11 +74,11 @@
     }
 
     private void deliverFrom(String place, SimulatedMachine machine, String request, Call call) {
-        if (ways.passes(place, machine.ip)) {
+        if (ways.canReach(place, machine.ip)) {
             deliver(machine, request, call);
         } else if (random.nextInt(3) == 0) {
             world.afterMs(1 + random.nextInt(MOST_RETRANSMISSION_MS), () -> {
-                if (ways.passes(place, machine.ip)) {
+                if (ways.canReach(place, machine.ip)) {
                     deliver(machine, request, call);
                 }
             });
@@ -86,7 +86,7 @@
     }
 
     /** Sends one request. */
-    void call(SimulatedMachine machine, String request, Consumer<Answer> answer) {
+    void call(SimulatedMachine machine, String request, Consumer<Response> answer) {
         call(machine, List.of(request), answers -> answer.accept(answers.get(0)));
     }
 
@@ -110,14 +110,14 @@
 
     private final class Call {
         private final int expected;
-        private final Consumer<List<Answer>> answers;
+        private final Consumer<List<Response>> answers;
         private final StringBuilder received = new StringBuilder();
         private String place = "";
         private boolean over;
         private boolean givenUp;
         private Runnable close = () -> { };
 
-        Call(int expected, Consumer<List<Answer>> answers) {
+        Call(int expected, Consumer<List<Response>> answers) {
             this.expected = expected;
             this.answers = answers;
         }
@@ -138,8 +138,8 @@
             }
         }
 
-        private List<Answer> read() {
-            List<Answer> read = new ArrayList<>();
+        private List<Response> read() {
+            List<Response> read = new ArrayList<>();
             String rest = received.toString();
             int end = rest.indexOf(HEAD_END);
             while (end >= 0) {
@@ -148,7 +148,7 @@
                     break;
                 }
                 int body = end + HEAD_END.length();
-                read.add(new Answer(Integer.parseInt(rest.substring(9, 12)), rest.substring(body, body + length)));
+                read.add(new Response(Integer.parseInt(rest.substring(9, 12)), rest.substring(body, body + length)));
                 rest = rest.substring(body + length);
                 end = rest.indexOf(HEAD_END);
             }
@@ -165,13 +165,13 @@
         void finish() {
             if (!over) {
                 over = true;
-                List<Answer> all = new ArrayList<>(read());
+                List<Response> all = new ArrayList<>(read());
                 if (all.size() < expected) {
                     givenUp = true;
                     close.run();
                 }
                 while (all.size() < expected) {
-                    all.add(Answer.NONE);
+                    all.add(Response.NONE);
                 }
                 answers.accept(all);
             }
@@ -197,7 +197,7 @@
             if (message instanceof ByteBuf bytes) {
                 String text = bytes.toString(StandardCharsets.US_ASCII);
                 bytes.release();
-                lost |= random.nextDouble() < lostAnswers || !ways.passes(ip, call.place);
+                lost |= random.nextDouble() < lostAnswers || !ways.canReach(ip, call.place);
                 if (process.isAlive() && !lost) {
                     arrives = Math.max(arrives, world.nowMs() + 1 + random.nextInt(2));
                     world.afterMs(arrives - world.nowMs(), () -> call.received(text));
--- a/src/test/java/routerfleet/control/TallyCampaign.java
+++ b/src/test/java/routerfleet/control/TallyCampaign.java
@@ -90,17 +90,17 @@
         TallyFaultPlan fewest = shrunk(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE);
         fewest.faults().forEach(System.out::println);
         TallySimulation simulation = new TallySimulation(seed, tolerated, fewest, PlantedFault.NONE);
-        String wrong = String.valueOf(simulation.play());
+        String wrong = String.valueOf(simulation.run());
         System.out.println(wrong);
         simulation.history().adds.stream().filter(a -> wrong.contains(" " + a + " ") || wrong.contains(" " + a + ","))
-                .forEach(a -> a.tries.forEach(t -> System.out.println(a + ": " + t)));
+                .forEach(a -> a.attempts.forEach(t -> System.out.println(a + ": " + t)));
         simulation.machines().forEach(m -> System.out.println(m.zone() + " " + m.describe()));
         simulation.history().disruptions.forEach(System.out::println);
     }
 
     private static String wrong(long seed, int tolerated, TallyFaultPlan plan, PlantedFault fault) {
         try {
-            return new TallySimulation(seed, tolerated, plan, fault).play();
+            return new TallySimulation(seed, tolerated, plan, fault).run();
         } catch (RuntimeException e) {
             return "failed: " + e;
         }
--- a/src/test/java/routerfleet/control/TallyClients.java
+++ b/src/test/java/routerfleet/control/TallyClients.java
@@ -61,7 +61,7 @@
     }
 
     /** Where the callers of a zone stand. */
-    static String place(String zone) {
+    static String location(String zone) {
         return "callers-" + zone;
     }
 
@@ -150,10 +150,10 @@
         }
         SimulatedMachine machine = order.get(tries % order.size());
         // it may have been counted from now on: what has no answer yet stands as unclear
-        int at = add.tries.size();
-        add.tries.add(pending(zone, machine));
+        int at = add.attempts.size();
+        add.attempts.add(pending(zone, machine));
         call(zone, machine, request, (made, body) -> {
-            add.tries.set(at, made);
+            add.attempts.set(at, made);
             if (made.isAcknowledged()) {
                 onAcknowledged.accept(machine);
             } else if (isTriedElsewhere(made.status()) && tries + 1 < MOST_TRIES) {
@@ -162,8 +162,8 @@
         });
     }
 
-    private TallyHistory.Try pending(String zone, SimulatedMachine machine) {
-        return new TallyHistory.Try(place(zone), machine.ip, -1, world.nowNanos(), TallyHistory.OPEN, 0);
+    private TallyHistory.Attempt pending(String zone, SimulatedMachine machine) {
+        return new TallyHistory.Attempt(location(zone), machine.ip, -1, world.nowNanos(), TallyHistory.OPEN, 0);
     }
 
     private void read(String tally, String zone) {
@@ -173,7 +173,7 @@
     private void read(String tally, String zone, List<SimulatedMachine> order, int tries) {
         readAt(tally, zone, order.get(tries % order.size()), read -> {
             history.reads.add(read);
-            if (isTriedElsewhere(read.call().status()) && tries + 1 < MOST_TRIES) {
+            if (isTriedElsewhere(read.attempt().status()) && tries + 1 < MOST_TRIES) {
                 read(tally, zone, order, tries + 1);
             }
         });
@@ -189,7 +189,7 @@
     }
 
     /** Reads every tally at every machine; the reads are taken for the last ones. */
-    void readAllInTheEnd() {
+    void readAllFinally() {
         for (int i = 1; i <= lastTally; i++) {
             for (SimulatedMachine machine : machines.get()) {
                 readAt("t" + i, machine.zone(), machine, history.finalReads::add);
@@ -202,13 +202,13 @@
     }
 
     private interface Called {
-        void answered(TallyHistory.Try made, String body);
+        void answered(TallyHistory.Attempt made, String body);
     }
 
     private void call(String zone, SimulatedMachine machine, String request, Called called) {
         long sent = world.nowNanos();
         int life = machine.lives();
-        http.callFrom(place(zone), machine, request, answer -> called.answered(new TallyHistory.Try(place(zone),
+        http.callFrom(location(zone), machine, request, answer -> called.answered(new TallyHistory.Attempt(location(zone),
                 machine.ip, machine.lives() == life ? life : -1, sent, world.nowNanos(), answer.status()), answer.body()));
     }
 
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -36,13 +36,13 @@
     final SimulatedNetwork network;
     private final PeerCodec codec = new PeerCodec();
     private final SplittableRandom random;
-    private final TallyBounds bounds;
+    private final TallyLimits bounds;
     private final List<Node> nodes = new ArrayList<>();
     /** Statuses by the number of the call; 0 while there is none. */
     private final Map<Integer, Integer> statuses = new HashMap<>();
     private int calls;
 
-    TallyCluster(long seed, TallyBounds bounds) {
+    TallyCluster(long seed, TallyLimits bounds) {
         this.bounds = bounds;
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(world, seed, codec);
@@ -71,7 +71,7 @@
                 bootstrap, Path.of("/"), 400, LOST, 1, java.util.Set.of("a", "b", "c", "d"), Bounds.defaults());
         ControlParts parts = new ControlParts(LOST) {
             @Override
-            TallyBounds tallyBounds() {
+            TallyLimits tallyBounds() {
                 return bounds;
             }
         };
--- a/src/test/java/routerfleet/control/TallyFaults.java
+++ b/src/test/java/routerfleet/control/TallyFaultInjector.java
@@ -16,7 +16,7 @@
  * Strikes a simulated core that keeps tallies, ends what it has begun, and writes down both. No more disks are lost at
  * once than is to be borne, and none while so many machines have been gone for a while that adds may stand on too few.
  */
-final class TallyFaults implements SimulatedHttp.Ways {
+final class TallyFaultInjector implements SimulatedHttp.Links {
     private static final int RESTART_MS = 900;
     private static final long SLOW_NANOS_A_BYTE = 3_000;
     private static final long SLOW_DISK_MS = 60;
@@ -36,7 +36,7 @@
     private final Set<String> missed = new HashSet<>();
     private boolean over;
 
-    TallyFaults(TallySimulation core, VirtualWorld world, SimulatedNetwork network, SimulatedHttp http,
+    TallyFaultInjector(TallySimulation core, VirtualWorld world, SimulatedNetwork network, SimulatedHttp http,
             TallyClients clients, TallyHistory history, Random random) {
         this.core = core;
         this.world = world;
@@ -48,17 +48,17 @@
     }
 
     @Override
-    public boolean passes(String from, String to) {
+    public boolean canReach(String from, String to) {
         return !cuts.containsKey(from + ">" + to);
     }
 
     /** Whether nothing is the matter. */
-    boolean isQuiet() {
+    boolean isIdle() {
         return undo.isEmpty();
     }
 
     /** All has been well for long: what was lost has been made up for. */
-    void madeUpFor() {
+    void lossesRepaired() {
         missed.clear();
         core.machines().forEach(m -> m.diskLossOpen(false));
     }
@@ -73,7 +73,7 @@
     }
 
     /** As many disks as may be are lost at once, and everything else loses its power. */
-    void strikeInTheEnd() {
+    void injectFinalFault() {
         over = false;
         wipeAndPower(null, RESTART_MS);
         over = true;
@@ -97,13 +97,13 @@
         world.afterMs(forMs, once);
     }
 
-    void strike(TallyFaultPlan.Fault fault) {
+    void inject(TallyFaultPlan.Fault fault) {
         if (over) {
             return;
         }
         List<SimulatedMachine> all = core.machines();
         SimulatedMachine machine = all.get(fault.target() % all.size());
-        long forMs = fault.forMs();
+        long forMs = fault.durationMs();
         switch (fault.kind()) {
             case KILL -> kill(machine, 100 + random.nextInt(RESTART_MS));
             case KILL_ALL -> all.forEach(m -> kill(m, 100 + random.nextInt(RESTART_MS)));
@@ -115,8 +115,8 @@
             case FREEZE -> freeze(machine, forMs);
             case RESET -> trouble("reset " + machine.ip, false, 0, () -> network.reset(machine.ip));
             case ANSWERS_LOST -> {
-                http.loseAnswers(0.5);
-                trouble("answers lost", false, forMs, () -> http.loseAnswers(0));
+                http.dropResponses(0.5);
+                trouble("answers lost", false, forMs, () -> http.dropResponses(0));
             }
             case SLOW_LINK -> {
                 network.slow(machine.ip, SLOW_NANOS_A_BYTE);
@@ -144,18 +144,18 @@
                     : (from, to) -> from.equals(zone) && to.equals(next));
             case CUT_BRIDGE -> cut(fault, (from, to) -> from.equals(zone) && to.equals(next)
                     || from.equals(next) && to.equals(zone));
-            case CUT_MACHINE -> cutMachine(machine, fault.forMs());
-            case WIPE -> wipe(machine, fault.forMs() / 3);
-            case WIPE_ZONE -> inZone(machine.zone()).forEach(m -> wipe(m, fault.forMs() / 3));
+            case CUT_MACHINE -> cutMachine(machine, fault.durationMs());
+            case WIPE -> wipe(machine, fault.durationMs() / 3);
+            case WIPE_ZONE -> inZone(machine.zone()).forEach(m -> wipe(m, fault.durationMs() / 3));
             case WIPE_ON_EACH_SIDE -> {
-                wipe(any(inZone(zone)), fault.forMs() / 3);
-                wipe(any(inZone(next)), fault.forMs() / 3);
+                wipe(any(inZone(zone)), fault.durationMs() / 3);
+                wipe(any(inZone(next)), fault.durationMs() / 3);
             }
-            case WIPE_AND_POWER -> wipeAndPower(null, fault.forMs() / 6);
+            case WIPE_AND_POWER -> wipeAndPower(null, fault.durationMs() / 6);
             case WIPE_AFTER_ACK -> clients.onAcknowledged(acknowledging -> {
                 clients.onAcknowledged(m -> { });
                 if (!over) {
-                    wipeAndPower(fault.variant() % 4 == 0 ? null : acknowledging, fault.forMs() / 6);
+                    wipeAndPower(fault.variant() % 4 == 0 ? null : acknowledging, fault.durationMs() / 6);
                 }
             });
             default -> throw new IllegalStateException("unknown " + fault.kind() + " among " + all.size());
@@ -205,7 +205,7 @@
                 if (machine.isUp()) {
                     machine.losePower();
                 }
-                startsAfter("power", machine, over ? 0 : fault.forMs() / 3);
+                startsAfter("power", machine, over ? 0 : fault.durationMs() / 3);
             });
         }
     }
@@ -224,15 +224,15 @@
         switch (fault.kind()) {
             case DISK_SLOW -> {
                 machine.diskLatencyMs(SLOW_DISK_MS);
-                trouble(what, false, fault.forMs(), () -> machine.diskLatencyMs(DISK_MS));
+                trouble(what, false, fault.durationMs(), () -> machine.diskLatencyMs(DISK_MS));
             }
             case DISK_HANGS -> {
                 machine.diskHangs(true);
-                trouble(what, false, fault.forMs(), () -> machine.diskHangs(false));
+                trouble(what, false, fault.durationMs(), () -> machine.diskHangs(false));
             }
             default -> {
                 machine.disk().full(true);
-                trouble(what, false, fault.forMs(), () -> machine.disk().full(false));
+                trouble(what, false, fault.durationMs(), () -> machine.disk().full(false));
             }
         }
     }
@@ -288,14 +288,14 @@
             }
             for (String zone : core.zones()) {
                 if (zones.test(zone, to.zone())) {
-                    ways.add(TallyClients.place(zone) + ">" + to.ip);
+                    ways.add(TallyClients.location(zone) + ">" + to.ip);
                 }
                 if (zones.test(to.zone(), zone)) {
-                    ways.add(to.ip + ">" + TallyClients.place(zone));
+                    ways.add(to.ip + ">" + TallyClients.location(zone));
                 }
             }
         }
-        cut(fault.kind().name(), ways, fault.forMs());
+        cut(fault.kind().name(), ways, fault.durationMs());
     }
 
     private void cutMachine(SimulatedMachine machine, long forMs) {
--- a/src/test/java/routerfleet/control/TallyFaultPlan.java
+++ b/src/test/java/routerfleet/control/TallyFaultPlan.java
@@ -21,7 +21,7 @@
      * @param target which machine or zone, counted over those that are there
      * @param variant chooses among forms of the same
      */
-    record Fault(int number, long atMs, Kind kind, int target, long forMs, int variant) { }
+    record Fault(int number, long atMs, Kind kind, int target, long durationMs, int variant) { }
 
     private static final int LONG_CUT_MS = 18_000;
     private static final int MOST_MS = 6_000;
@@ -30,7 +30,7 @@
     private static final int SPARSE_MS = 20_000;
 
     /** Draws a plan. */
-    static TallyFaultPlan draw(long seed, long fromMs, long untilMs) {
+    static TallyFaultPlan generate(long seed, long fromMs, long untilMs) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
         int pace = random.nextBoolean() ? DENSE_MS / 8 + random.nextInt(DENSE_MS) : DENSE_MS + random.nextInt(SPARSE_MS);
--- a/src/test/java/routerfleet/control/TallyHistory.java
+++ b/src/test/java/routerfleet/control/TallyHistory.java
@@ -17,7 +17,7 @@
      * @param life which life of the machine's process the call was sent to
      * @param status 0 where no answer came in time
      */
-    record Try(String caller, String machine, int life, long sentNanos, long answeredNanos, int status) {
+    record Attempt(String caller, String machine, int life, long sentNanos, long answeredNanos, int status) {
         boolean isAcknowledged() {
             return status == 200;
         }
@@ -33,7 +33,7 @@
         final String tally;
         final String uid;
         final long amount;
-        final List<Try> tries = new ArrayList<>();
+        final List<Attempt> attempts = new ArrayList<>();
 
         Add(String tally, String uid, long amount) {
             this.tally = tally;
@@ -43,7 +43,7 @@
 
         /** Whether it can have been counted in an answer that was seen at a moment. */
         boolean couldCountBy(long nanos) {
-            return tries.stream().anyMatch(t -> t.sentNanos() < nanos && !t.isRefused());
+            return attempts.stream().anyMatch(t -> t.sentNanos() < nanos && !t.isRefused());
         }
 
         @Override
@@ -53,7 +53,7 @@
     }
 
     /** A read of a tally; the total counts only where the status is 200. */
-    record Read(String tally, Try call, long total) { }
+    record Read(String tally, Attempt attempt, long total) { }
 
     /** Trouble of any kind. @param isCut whether it only keeps machines from each other */
     record Disruption(String what, boolean isCut, long fromNanos, long untilNanos) { }
--- a/src/test/java/routerfleet/control/TallyHistoryChecker.java
+++ b/src/test/java/routerfleet/control/TallyHistoryChecker.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import routerfleet.control.TallyHistory.Add;
+import routerfleet.control.TallyHistory.Attempt;
 import routerfleet.control.TallyHistory.Read;
-import routerfleet.control.TallyHistory.Try;
 
 /**
  * Judges what was seen of tallies by the operators' rules TWICE, STALE and LOST, by what calls are owed (UNSERVED), and
@@ -78,8 +78,8 @@
 
     private String reads() {
         for (Read read : history.reads) {
-            if (read.call().isAcknowledged()) {
-                boolean calm = isCalm(read.call().sentNanos() - mergeNanos, read.call().answeredNanos());
+            if (read.attempt().isAcknowledged()) {
+                boolean calm = isCalm(read.attempt().sentNanos() - mergeNanos, read.attempt().answeredNanos());
                 String wrong = judge(read, "STALE", calm);
                 if (wrong != null) {
                     return wrong;
@@ -91,9 +91,9 @@
 
     private String finalReads() {
         for (Read read : history.finalReads) {
-            if (!read.call().isAcknowledged()) {
-                return "LOST: " + read.tally() + " can't be read at " + read.call().machine() + " in the end, status "
-                        + read.call().status();
+            if (!read.attempt().isAcknowledged()) {
+                return "LOST: " + read.tally() + " can't be read at " + read.attempt().machine() + " in the end, status "
+                        + read.attempt().status();
             }
             String wrong = judge(read, "LOST", true);
             if (wrong != null) {
@@ -106,9 +106,9 @@
     private String inTheEndAllAgree() {
         Map<String, Read> first = new HashMap<>();
         for (Read read : history.finalReads) {
-            long quietNanos = read.call().sentNanos() - mergeNanos;
+            long quietNanos = read.attempt().sentNanos() - mergeNanos;
             boolean quiet = history.adds.stream().filter(a -> a.tally.equals(read.tally()))
-                    .allMatch(a -> a.tries.stream().allMatch(t -> t.answeredNanos() < quietNanos));
+                    .allMatch(a -> a.attempts.stream().allMatch(t -> t.answeredNanos() < quietNanos));
             Read other = first.putIfAbsent(read.tally(), read);
             if (quiet && other != null && other.total() != read.total()) {
                 return "DIFFERS: " + describe(read) + ", and " + describe(other);
@@ -120,7 +120,7 @@
     /** @param merged whether it has to hold what any machine has acknowledged */
     private String judge(Read read, String rule, boolean merged) {
         Tally tally = tally(read.tally());
-        long seenNanos = read.call().answeredNanos();
+        long seenNanos = read.attempt().answeredNanos();
         boolean decodable = tally.isDecodable();
         long most = tally.most(seenNanos);
         if (decodable ? (read.total() & ~most) != 0 || read.total() < 0 : read.total() > most) {
@@ -129,7 +129,7 @@
         }
         long least = 0;
         for (Map.Entry<String, List<Add>> same : tally.byUid.entrySet()) {
-            Try owedBy = owedBy(same.getValue(), read, merged);
+            Attempt owedBy = owedBy(same.getValue(), read, merged);
             if (owedBy != null) {
                 long amount = tally.least(same.getKey(), seenNanos);
                 least += amount;
@@ -151,10 +151,10 @@
     }
 
     /** The acknowledgement for which a read has to hold an add; null where there is none. */
-    private Try owedBy(List<Add> same, Read read, boolean merged) {
-        Try call = read.call();
+    private Attempt owedBy(List<Add> same, Read read, boolean merged) {
+        Attempt call = read.attempt();
         for (Add add : same) {
-            for (Try acknowledged : add.tries) {
+            for (Attempt acknowledged : add.attempts) {
                 if (!acknowledged.isAcknowledged()) {
                     continue;
                 }
@@ -175,7 +175,7 @@
     }
 
     /** Whether a machine acknowledged during a broken connection, and lost its disk before that was made up for. */
-    private boolean isNotOwed(Try acknowledged) {
+    private boolean isNotOwed(Attempt acknowledged) {
         List<TallyHistory.Cut> cuts = history.cuts.stream().filter(c -> c.touches(acknowledged.machine())).toList();
         boolean cutOff = cuts.stream().anyMatch(c -> c.fromNanos() <= acknowledged.answeredNanos()
                 && c.untilNanos() >= acknowledged.sentNanos());
@@ -200,21 +200,21 @@
 
     private String unserved() {
         for (Add add : history.adds) {
-            for (Try call : add.tries) {
+            for (Attempt call : add.attempts) {
                 if (isOwedAnAnswer(call)) {
                     return "UNSERVED: " + add + " to " + add.tally + " at " + describe(call);
                 }
             }
         }
         for (Read read : history.reads) {
-            if (isOwedAnAnswer(read.call())) {
-                return "UNSERVED: read of " + read.tally() + " at " + describe(read.call());
+            if (isOwedAnAnswer(read.attempt())) {
+                return "UNSERVED: read of " + read.tally() + " at " + describe(read.attempt());
             }
         }
         return null;
     }
 
-    private boolean isOwedAnAnswer(Try call) {
+    private boolean isOwedAnAnswer(Attempt call) {
         long from = call.sentNanos() - settledNanos;
         return !call.isAcknowledged() && call.answeredNanos() != TallyHistory.OPEN
                 && history.disruptions.stream().noneMatch(d -> unsettles(d, from, call.answeredNanos()))
@@ -229,10 +229,10 @@
     }
 
     private static String describe(Read read) {
-        return read.tally() + " reads " + read.total() + " at " + describe(read.call());
+        return read.tally() + " reads " + read.total() + " at " + describe(read.attempt());
     }
 
-    private static String describe(Try call) {
+    private static String describe(Attempt call) {
         return call.machine() + " in its life " + call.life() + ", sent from " + call.caller() + " at "
                 + TimeUnit.NANOSECONDS.toMillis(call.sentNanos()) + " ms, status " + call.status() + " at "
                 + TimeUnit.NANOSECONDS.toMillis(call.answeredNanos()) + " ms";
--- a/src/test/java/routerfleet/control/TallyHistoryCheckerTest.java
+++ b/src/test/java/routerfleet/control/TallyHistoryCheckerTest.java
@@ -8,7 +8,7 @@
 import org.hamcrest.Matcher;
 import org.junit.jupiter.api.Test;
 import routerfleet.control.TallyHistory.Add;
-import routerfleet.control.TallyHistory.Try;
+import routerfleet.control.TallyHistory.Attempt;
 
 /** Histories written by hand: each rule of tallies, broken and kept. Times are in milliseconds. */
 class TallyHistoryCheckerTest {
@@ -22,13 +22,13 @@
         trouble(0, 0); // the start of all machines
     }
 
-    private static Try call(String machine, int life, long sentMs, int status) {
-        return new Try("zone-" + machine, machine, life, sentMs * NANOS, (sentMs + 5) * NANOS, status);
+    private static Attempt call(String machine, int life, long sentMs, int status) {
+        return new Attempt("zone-" + machine, machine, life, sentMs * NANOS, (sentMs + 5) * NANOS, status);
     }
 
-    private Add add(String uid, long amount, Try... tries) {
+    private Add add(String uid, long amount, Attempt... tries) {
         Add add = new Add("t", uid, amount);
-        add.tries.addAll(List.of(tries));
+        add.attempts.addAll(List.of(tries));
         history.adds.add(add);
         return add;
     }
--- a/src/test/java/routerfleet/control/TallyCutTest.java
+++ b/src/test/java/routerfleet/control/TallyPartitionTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Tallies over cuts, lost disks, and disks in trouble, in virtual time. */
-class TallyCutTest {
+class TallyPartitionTest {
     private static final int MERGE_MS = 3_000;
     /** After so long without the others a node takes itself for cut off. */
     private static final int CUT_OFF_MS = 4_000;
 
     private static TallyCluster cluster(long seed) {
-        TallyCluster cluster = new TallyCluster(seed, TallyBounds.DEFAULT);
+        TallyCluster cluster = new TallyCluster(seed, TallyLimits.DEFAULT);
         cluster.advance(5_000);
         return cluster;
     }
@@ -164,7 +164,7 @@
     /** Bound: what all hold is folded, in pieces over a lost disk too, and totals stay the same. */
     @Test
     void whatAllHoldIsFoldedAndTotalsStay() {
-        TallyCluster cluster = new TallyCluster(9, new TallyBounds(50, 100, 200, 10, 20));
+        TallyCluster cluster = new TallyCluster(9, new TallyLimits(50, 100, 200, 10, 20));
         cluster.advance(5_000);
         for (int i = 1; i <= 500; i++) {
             int call = cluster.add(i % TallyCluster.NODES, "u" + i, 1);
@@ -193,7 +193,7 @@
     /** Bound: while a node is away nothing can be folded, and adds are refused before memory is full. */
     @Test
     void addsAreRefusedWhereNothingCanBeFolded() {
-        TallyCluster cluster = new TallyCluster(10, new TallyBounds(50, 100, 200, 10, 20));
+        TallyCluster cluster = new TallyCluster(10, new TallyLimits(50, 100, 200, 10, 20));
         cluster.advance(5_000);
         cluster.cut(true, 4);
         cluster.advance(CUT_OFF_MS);
--- a/src/test/java/routerfleet/control/TallyCopiesTest.java
+++ b/src/test/java/routerfleet/control/TallyReplicaProgressTest.java
@@ -11,12 +11,12 @@
 import routerfleet.journal.Origin;
 
 /** What is known of other control nodes' disks. */
-class TallyCopiesTest {
+class TallyReplicaProgressTest {
     private static final Origin DISK = new Origin("10.0.0.2", 5);
     private static final Origin NEXT_DISK = new Origin("10.0.0.2", 6);
     private static final Origin ADDS = new Origin("10.0.0.1", 7);
 
-    private final TallyCopies copies = new TallyCopies();
+    private final TallyReplicaProgress copies = new TallyReplicaProgress();
 
     private static JournalVector upTo(long number) {
         return new JournalVector(new TreeMap<>(Map.of(ADDS, number)));
@@ -25,16 +25,16 @@
     /** Guards acknowledgements: a vector that comes later than what was told after it takes nothing back. */
     @Test
     void aVectorThatComesLateTakesNothingBack() {
-        copies.learn(DISK, upTo(1));
-        copies.learn(DISK, ADDS, 3);
-        copies.learn(DISK, upTo(2));
-        assertThat(copies.holding(ADDS, 3), contains("10.0.0.2"));
+        copies.update(DISK, upTo(1));
+        copies.update(DISK, ADDS, 3);
+        copies.update(DISK, upTo(2));
+        assertThat(copies.holdersOf(ADDS, 3), contains("10.0.0.2"));
     }
 
     @Test
     void aLostDiskHoldsNothingAnyMore() {
-        copies.learn(DISK, upTo(3));
-        copies.learn(NEXT_DISK, upTo(0));
-        assertThat(copies.holding(ADDS, 1), empty());
+        copies.update(DISK, upTo(3));
+        copies.update(NEXT_DISK, upTo(0));
+        assertThat(copies.holdersOf(ADDS, 1), empty());
     }
 }
--- a/src/test/java/routerfleet/control/TallySimulation.java
+++ b/src/test/java/routerfleet/control/TallySimulation.java
@@ -37,7 +37,7 @@
     private final List<SimulatedMachine> machines = new ArrayList<>();
     private final List<String> zones;
     private final TallyClients clients;
-    private final TallyFaults faults;
+    private final TallyFaultInjector faults;
     private final boolean endsWithAFault;
     private long wellSinceMs;
 
@@ -56,10 +56,10 @@
         SimulatedMachine.Surroundings surroundings =
                 new SimulatedMachine.Surroundings(world, network, CODEC.get(), tolerated, fault);
         // the ways are those of the faults, which need the clients
-        TallyFaults[] ways = new TallyFaults[1];
-        SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault, (from, to) -> ways[0].passes(from, to));
+        TallyFaultInjector[] ways = new TallyFaultInjector[1];
+        SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault, (from, to) -> ways[0].canReach(from, to));
         clients = new TallyClients(world, random.nextLong(), http, this::machines, history);
-        faults = new TallyFaults(this, world, network, http, clients, history, new Random(random.nextLong()));
+        faults = new TallyFaultInjector(this, world, network, http, clients, history, new Random(random.nextLong()));
         ways[0] = faults;
         zones = drawZones();
         for (int i = 0; i < 2 * tolerated + 1; i++) {
@@ -71,7 +71,7 @@
             machines.add(machine);
         }
         endsWithAFault = random.nextBoolean();
-        plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.strike(f)));
+        plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.inject(f)));
     }
 
     private List<String> drawZones() {
@@ -80,11 +80,11 @@
     }
 
     static TallyFaultPlan plan(long seed) {
-        return TallyFaultPlan.draw(seed * 37 + 11, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
+        return TallyFaultPlan.generate(seed * 37 + 11, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
     }
 
     /** Plays it. @return what was wrong, in one line that begins with a rule; null where nothing was */
-    String play() {
+    String run() {
         history.disruptions.add(new TallyHistory.Disruption("start", false, 0, 0));
         machines.forEach(m -> m.start(true, seeds()));
         clients.start(zones, 2, FAULTS_FROM_MS + FAULTS_MS + RECOVERY_MS - QUIET_MS);
@@ -93,10 +93,10 @@
         faults.endAll();
         world.runUntilMs(world.nowMs() + RECOVERY_MS);
         if (endsWithAFault) {
-            faults.strikeInTheEnd();
+            faults.injectFinalFault();
             world.runUntilMs(world.nowMs() + RECOVERY_MS);
         }
-        clients.readAllInTheEnd();
+        clients.readAllFinally();
         world.runUntilMs(world.nowMs() + LAST_READS_MS);
         return TallyHistoryChecker.check(history, MERGE_MS, SETTLED_MS);
     }
@@ -122,10 +122,10 @@
     }
 
     private void check() {
-        if (!faults.isQuiet() || !machines.stream().allMatch(SimulatedMachine::isWell)) {
+        if (!faults.isIdle() || !machines.stream().allMatch(SimulatedMachine::isWell)) {
             wellSinceMs = world.nowMs();
         } else if (world.nowMs() - wellSinceMs >= CALM_MS) {
-            faults.madeUpFor();
+            faults.lossesRepaired();
         }
         world.afterMs(CHECK_MS, this::check);
     }
--- a/src/test/java/routerfleet/control/TallySimulationTest.java
+++ b/src/test/java/routerfleet/control/TallySimulationTest.java
@@ -16,13 +16,13 @@
 class TallySimulationTest {
     private static final int MOST_RUNS = 6;
 
-    private static TallySimulation standIn(long seed, int tolerated, TallyStandIn.Flaw flaw) {
-        TallyStandIn standIn = new TallyStandIn(flaw, seed);
-        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE, standIn::before);
+    private static TallySimulation standIn(long seed, int tolerated, TallyStub.Flaw flaw) {
+        TallyStub standIn = new TallyStub(flaw, seed);
+        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE, standIn::interceptor);
     }
 
     private static String play(long seed, int tolerated, PlantedFault fault) {
-        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), fault).play();
+        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), fault).run();
     }
 
     @Test
@@ -59,25 +59,25 @@
         TallyFaultPlan plan = disksAreLostRightAfterAcknowledgements();
         String found = null;
         for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
-            assertThat("seed " + seed, new TallySimulation(seed, 1, plan, PlantedFault.NONE).play(), is(nullValue()));
-            found = new TallySimulation(seed, 1, plan, PlantedFault.TALLY_ON_ONE_DISK_TOO_FEW).play();
+            assertThat("seed " + seed, new TallySimulation(seed, 1, plan, PlantedFault.NONE).run(), is(nullValue()));
+            found = new TallySimulation(seed, 1, plan, PlantedFault.TALLY_ON_ONE_DISK_TOO_FEW).run();
         }
         assertThat("one disk too few is found", found, is(notNullValue()));
     }
 
     @Test
     void aSoundStandInIsFoundSound() {
-        TallySimulation simulation = standIn(1, 1, TallyStandIn.Flaw.NONE);
-        assertThat(simulation.play(), is(nullValue()));
+        TallySimulation simulation = standIn(1, 1, TallyStub.Flaw.NONE);
+        assertThat(simulation.run(), is(nullValue()));
         assertThat(simulation.history().adds.size(), is(greaterThan(300)));
     }
 
     @ParameterizedTest
-    @EnumSource(value = TallyStandIn.Flaw.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aFlawOfTheStandInIsFound(TallyStandIn.Flaw flaw) {
+    @EnumSource(value = TallyStub.Flaw.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void aFlawOfTheStandInIsFound(TallyStub.Flaw flaw) {
         String found = null;
         for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
-            found = standIn(seed, 1, flaw).play();
+            found = standIn(seed, 1, flaw).run();
         }
         assertThat(found, is(notNullValue()));
     }
--- a/src/test/java/routerfleet/control/TallyStandIn.java
+++ b/src/test/java/routerfleet/control/TallyStub.java
@@ -15,7 +15,7 @@
  * Tallies without a network or a disk: all machines see one state, which nothing but a planted fault can lose. With it
  * the simulation's own parts are tested.
  */
-final class TallyStandIn {
+final class TallyStub {
     /** What is wrong with it. */
     enum Flaw {
         NONE, COUNTS_A_REPEAT, REFUSES_WHAT_IT_COUNTED, KEPT_BY_ONE_MACHINE, KEPT_IN_MEMORY, FORGETS_A_UID_AT_A_START,
@@ -34,13 +34,13 @@
     private final Set<String> knownSinceStart = new HashSet<>();
     private int repeats;
 
-    TallyStandIn(Flaw flaw, long seed) {
+    TallyStub(Flaw flaw, long seed) {
         this.flaw = flaw;
         random = new Random(seed);
     }
 
     /** What stands before a machine's control service. */
-    UnaryOperator<ControlHttp.Handler> before(SimulatedMachine machine) {
+    UnaryOperator<ControlHttp.Handler> interceptor(SimulatedMachine machine) {
         return real -> (request, answer) -> {
             Matcher path = PATH.matcher(request.path());
             if (path.matches()) {
--- a/src/test/java/routerfleet/control/DisorderedHttp.java
+++ b/src/test/java/routerfleet/control/UnorderedHttp.java
@@ -13,17 +13,17 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /** The HTTP side of a control node with a planted fault: requests are handled at once, and answered as they are done. */
-final class DisorderedHttp extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class UnorderedHttp extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MOST_BYTES = 1 << 22;
 
     private final ControlHttp.Handler handler;
 
-    private DisorderedHttp(ControlHttp.Handler handler) {
+    private UnorderedHttp(ControlHttp.Handler handler) {
         this.handler = handler;
     }
 
     static void install(ChannelPipeline pipeline, ControlHttp.Handler handler) {
-        pipeline.addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BYTES), new DisorderedHttp(handler));
+        pipeline.addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BYTES), new UnorderedHttp(handler));
     }
 
     @Override
