--- a/src/main/java/routerfleet/data/AdmittedRequest.java
+++ b/src/main/java/routerfleet/data/AdmittedRequest.java
@@ -31,7 +31,7 @@
         if (!plane.hasConfiguration()) {
             return Either.left(ErrorResponse.notReady());
         }
-        RoutingTable.Route found = table.route(headers.get(HttpHeaderNames.HOST), request.uri());
+        RoutingTable.Route found = table.findRoute(headers.get(HttpHeaderNames.HOST), request.uri());
         if (found == null) {
             return Either.left(ErrorResponse.withoutRetry(404, "no route"));
         }
@@ -44,7 +44,7 @@
             return Either.left(ErrorResponse.notReady());
         }
         String key = keyed ? headers.get(ProxyHeaders.API_KEY) : null;
-        TenantConfig tenant = key == null ? null : table.tenant(key);
+        TenantConfig tenant = key == null ? null : table.tenantForKey(key);
         if (keyed && tenant == null) {
             return Either.left(ErrorResponse.withoutRetry(401, "no such key"));
         }
@@ -75,6 +75,6 @@
 
     /** Whether the key still holds: the process may have stood still since it was checked. */
     boolean isKeyStillValid(DataPlane plane) {
-        return tenant == null || plane.keysAreFresh() && plane.table().tenant(key) != null;
+        return tenant == null || plane.keysAreFresh() && plane.table().tenantForKey(key) != null;
     }
 }
--- a/src/main/java/routerfleet/data/ColdAdmission.java
+++ b/src/main/java/routerfleet/data/ColdAdmission.java
@@ -11,75 +11,75 @@
  */
 final class ColdAdmission {
     /** The chance where a service tells no bound: all servers count as warm. */
-    static final double NO_BOUND = Double.POSITIVE_INFINITY;
+    static final double UNLIMITED = Double.POSITIVE_INFINITY;
     /** Of a send that needs no permission. */
-    static final long NO_CLAIM = -1;
+    static final long NO_PERMIT = -1;
 
     /** One node's permission for one server, in the slice that was drawn for last. */
-    static final class Permission {
-        private long slice = NO_CLAIM;
-        private boolean open;
+    static final class Permit {
+        private long slice = NO_PERMIT;
+        private boolean available;
     }
 
     private final SplittableRandom random;
-    private double chance = NO_BOUND;
-    private long openSlice = NO_CLAIM;
-    private final List<Server> open = new ArrayList<>();
+    private double permitProbability = UNLIMITED;
+    private long permittedServersSlice = NO_PERMIT;
+    private final List<Server> permittedServers = new ArrayList<>();
 
     ColdAdmission(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /** @param aSlice the chance of a permission in a slice, from {@link WarmupRate#chance}, or {@link #NO_BOUND} */
-    void chance(double aSlice) {
-        chance = aSlice;
+    /** @param probability the chance of a permission in a slice, from {@link WarmupRate#permitProbability}, or {@link #UNLIMITED} */
+    void permitProbability(double probability) {
+        permitProbability = probability;
     }
 
     private static long slice(long nowMs) {
         return Math.floorDiv(nowMs, WarmupRate.SLICE_MS);
     }
 
-    private boolean isBound(Server server, long nowMs) {
-        return chance != NO_BOUND && server.warmth().isCold(nowMs);
+    private boolean needsPermit(Server server, long nowMs) {
+        return permitProbability != UNLIMITED && server.warmupState().isCold(nowMs);
     }
 
     /** Whether the server is warm, or there is a permission for it now. */
     boolean permits(Server server, long nowMs) {
-        return !isBound(server, nowMs) || drawn(server.permission(), nowMs).open;
+        return !needsPermit(server, nowMs) || permitFor(server.coldPermit(), nowMs).available;
     }
 
-    private Permission drawn(Permission permission, long nowMs) {
+    private Permit permitFor(Permit permit, long nowMs) {
         long now = slice(nowMs);
-        if (permission.slice != now) {
-            permission.slice = now;
-            permission.open = random.nextDouble() < chance;
+        if (permit.slice != now) {
+            permit.slice = now;
+            permit.available = random.nextDouble() < permitProbability;
         }
-        return permission;
+        return permit;
     }
 
     /**
      * The cold servers for which this slice began with a permission; whether it is still there {@link #permits} tells.
      * Costs O(n) for n servers once a slice.
      */
-    List<Server> open(List<Server> servers, long nowMs) {
-        if (openSlice != slice(nowMs)) {
-            openSlice = slice(nowMs);
-            open.clear();
+    List<Server> serversWithPermit(List<Server> servers, long nowMs) {
+        if (permittedServersSlice != slice(nowMs)) {
+            permittedServersSlice = slice(nowMs);
+            permittedServers.clear();
             for (Server server : servers) {
-                if (isBound(server, nowMs) && drawn(server.permission(), nowMs).open) {
-                    open.add(server);
+                if (needsPermit(server, nowMs) && permitFor(server.coldPermit(), nowMs).available) {
+                    permittedServers.add(server);
                 }
             }
         }
-        return open;
+        return permittedServers;
     }
 
-    /** Takes the permission for a request that was given that server. @return what {@link #holds} is asked with */
-    long claim(Server server, long nowMs) {
-        if (!isBound(server, nowMs)) {
-            return NO_CLAIM;
+    /** Takes the permission for a request that was given that server. @return what {@link #maySend} is asked with */
+    long acquirePermit(Server server, long nowMs) {
+        if (!needsPermit(server, nowMs)) {
+            return NO_PERMIT;
         }
-        drawn(server.permission(), nowMs).open = false;
+        permitFor(server.coldPermit(), nowMs).available = false;
         return slice(nowMs);
     }
 
@@ -87,12 +87,12 @@
      * Whether a request may be sent now: the server is warm, or the permission that was claimed is of this slice, or the
      * server has turned cold since and there is one now, which this takes.
      */
-    boolean holds(Server server, long claimed, long nowMs) {
-        if (!isBound(server, nowMs) || claimed == slice(nowMs)) {
+    boolean maySend(Server server, long permitSlice, long nowMs) {
+        if (!needsPermit(server, nowMs) || permitSlice == slice(nowMs)) {
             return true;
         }
-        boolean open = drawn(server.permission(), nowMs).open;
-        server.permission().open = false;
-        return open;
+        boolean available = permitFor(server.coldPermit(), nowMs).available;
+        server.coldPermit().available = false;
+        return available;
     }
 }
--- a/src/main/java/routerfleet/data/ControlClient.java
+++ b/src/main/java/routerfleet/data/ControlClient.java
@@ -29,21 +29,21 @@
 final class ControlClient {
     private static final System.Logger LOG = Loggers.get("routerfleet.data");
     /** Questions are asked on the primary connection at each tick, on the others each so many ticks. */
-    private static final long TICK_MS = 400;
-    private static final int OTHER_TICKS = 4;
+    private static final long POLL_INTERVAL_MS = 400;
+    private static final int SECONDARY_POLL_TICKS = 4;
     /** Past this the node asks on all connections and more often: it may not serve much longer, or not yet. */
     private static final long STALE_MS = 1_500;
-    private static final long STALE_TICK_MS = 100;
-    private static final long FETCH_AFTER_MS = 150;
-    private static final long FORGET_MS = 30_000;
-    private static final int MOST_OPEN_POLLS = 64;
+    private static final long STALE_POLL_INTERVAL_MS = 100;
+    private static final long FETCH_DELAY_MS = 150;
+    private static final long FORGET_TIMEOUT_MS = 30_000;
+    private static final int MAX_OPEN_POLLS = 64;
     /** The first questions are answered only once the newest configuration is known: none is put twice within this time. */
-    private static final long ASK_AGAIN_MS = 400;
+    private static final long FIRST_POLL_INTERVAL_MS = 400;
     /**
      * Before this node counts as being in touch with the core, what was known earlier is dropped. A node counts from the
      * start of its process, which this leaves time for.
      */
-    private static final long EARLIER_MARGIN_MS = 1_000;
+    private static final long EARLIER_SESSIONS_MARGIN_MS = 1_000;
 
     /** Who hears what control nodes say. */
     interface Listener {
@@ -60,16 +60,16 @@
         void disconnected(String controlNode);
     }
 
-    private record FreshPoint(long nanos, long generation) { }
+    private record FreshnessPoint(long nanos, long generation) { }
 
     private final class Link implements PeerLink.Listener {
         private final String ip;
         /** When each open question was asked, on the steady clock in nanoseconds, by its number. */
-        private final Map<Long, Long> polls = new TreeMap<>();
+        private final Map<Long, Long> openPolls = new TreeMap<>();
         private PeerLink link;
-        private int turn;
-        private long askedNanos;
-        private long heardNanos = scheduler.nanoTime();
+        private int ticks;
+        private long lastPollNanos;
+        private long lastHeardNanos = scheduler.nanoTime();
 
         Link(String ip) {
             this.ip = ip;
@@ -78,8 +78,8 @@
         @Override
         public void opened(PeerLink opened) {
             link = opened;
-            heardNanos = scheduler.nanoTime();
-            polls.clear();
+            lastHeardNanos = scheduler.nanoTime();
+            openPolls.clear();
             opened.send(new PeerMessage.DataHello(settings.nodeName(), settings.ip(), settings.zone(),
                     registry.epoch(ip), registry.revision(ip)));
             choosePrimary();
@@ -88,7 +88,7 @@
 
         @Override
         public void received(PeerLink from, PeerMessage message) {
-            heardNanos = scheduler.nanoTime();
+            lastHeardNanos = scheduler.nanoTime();
             ControlClient.this.received(this, message);
         }
 
@@ -114,15 +114,15 @@
     /** Control nodes that hold replicas of the configuration shard, as last told. */
     private List<String> replicas = List.of();
     private Link primary;
-    private long lastPoll;
+    private long lastPollId;
     private FleetConfiguration configuration = new FleetConfiguration(0, null, null, null, null);
     private long generation;
     private Evacuations evacuations = Evacuations.NONE;
     private final long startedNanos;
     private long freshNanos;
     private boolean everFresh;
-    private FreshPoint waitingForGeneration;
-    private final int preference;
+    private FreshnessPoint waitingForGeneration;
+    private final int rankingSeed;
 
     ControlClient(Scheduler scheduler, PeerNetwork network, LocalSettings settings, ServerRegistry registry,
             PeerCodec codec, Listener listener) {
@@ -133,20 +133,20 @@
         this.registry = registry;
         this.listener = listener;
         seeds = settings.seeds();
-        preference = settings.nodeName().hashCode();
+        rankingSeed = settings.nodeName().hashCode();
         dialer = new PeerDialer(scheduler, network, LinkTiming.DATA, address -> links.get(address.host()));
     }
 
     void start() {
-        seeds.forEach(seed -> learn(seed.host()));
-        hurryPreferred();
-        scheduler.schedule(registry::dropEarlier, settings.bounds().connectedMs() - EARLIER_MARGIN_MS,
+        seeds.forEach(seed -> addControlNode(seed.host()));
+        hurryPreferredSeed();
+        scheduler.schedule(registry::dropEarlierSessions, settings.bounds().connectedMs() - EARLIER_SESSIONS_MARGIN_MS,
                 TimeUnit.MILLISECONDS);
         tick();
     }
 
     /** One seed is called more often at the start: all of them by all data nodes would keep the core from starting. */
-    private void hurryPreferred() {
+    private void hurryPreferredSeed() {
         links.values().stream().max(Comparator.comparingInt(this::rank))
                 .ifPresent(link -> dialer.hurry(new HostPort(link.ip, settings.dataPort())));
     }
@@ -154,7 +154,7 @@
     /** Takes other seeds. */
     void seeds(List<HostPort> changed) {
         seeds = changed;
-        seeds.forEach(seed -> learn(seed.host()));
+        seeds.forEach(seed -> addControlNode(seed.host()));
     }
 
     /** For how long the configuration has not been known to be the newest, in milliseconds. */
@@ -186,7 +186,7 @@
         return true;
     }
 
-    private void learn(String ip) {
+    private void addControlNode(String ip) {
         if (!links.containsKey(ip)) {
             links.put(ip, new Link(ip));
             dialer.want(new HostPort(ip, settings.dataPort()));
@@ -198,14 +198,14 @@
         boolean stale = staleMs() > STALE_MS || !hasBeenFresh();
         for (Link link : List.copyOf(links.values())) {
             boolean seed = seeds.stream().anyMatch(s -> s.host().equals(link.ip));
-            if (!seed && link.link == null && now - link.heardNanos > TimeUnit.MILLISECONDS.toNanos(FORGET_MS)) {
+            if (!seed && link.link == null && now - link.lastHeardNanos > TimeUnit.MILLISECONDS.toNanos(FORGET_TIMEOUT_MS)) {
                 links.remove(link.ip);
                 dialer.forget(new HostPort(link.ip, settings.dataPort()));
-            } else if (++link.turn % (stale || link == primary ? 1 : OTHER_TICKS) == 0) {
+            } else if (++link.ticks % (stale || link == primary ? 1 : SECONDARY_POLL_TICKS) == 0) {
                 poll(link);
             }
         }
-        scheduler.schedule(this::tick, stale ? STALE_TICK_MS : TICK_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(this::tick, stale ? STALE_POLL_INTERVAL_MS : POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void choosePrimary() {
@@ -224,71 +224,71 @@
 
     /** In another order at each data node, so that they spread over the control nodes. */
     private int rank(Link link) {
-        return (link.ip.hashCode() * 31 ^ preference) * 0x9E3779B1;
+        return (link.ip.hashCode() * 31 ^ rankingSeed) * 0x9E3779B1;
     }
 
     private void poll(Link link) {
         long now = scheduler.nanoTime();
-        boolean asked = !link.polls.isEmpty() && now - link.askedNanos < TimeUnit.MILLISECONDS.toNanos(ASK_AGAIN_MS);
-        if (link.link == null || generation == 0 && asked) {
+        boolean recentlyPolled = !link.openPolls.isEmpty() && now - link.lastPollNanos < TimeUnit.MILLISECONDS.toNanos(FIRST_POLL_INTERVAL_MS);
+        if (link.link == null || generation == 0 && recentlyPolled) {
             return;
         }
-        if (link.polls.size() >= MOST_OPEN_POLLS) {
-            link.polls.clear();
+        if (link.openPolls.size() >= MAX_OPEN_POLLS) {
+            link.openPolls.clear();
         }
-        long id = ++lastPoll;
-        link.polls.put(id, now);
-        link.askedNanos = now;
+        long id = ++lastPollId;
+        link.openPolls.put(id, now);
+        link.lastPollNanos = now;
         link.link.send(new PeerMessage.Poll(id, generation, link == primary));
     }
 
     private void received(Link link, PeerMessage message) {
         if (message instanceof PeerMessage.PollReply reply) {
-            polled(link, reply);
+            pollAnswered(link, reply);
         } else if (message instanceof PeerMessage.SessionChanges changes) {
-            registry.told(link.ip, changes);
+            registry.applySessionChanges(link.ip, changes);
         } else if (message instanceof PeerMessage.EarlierSessions earlier) {
-            takeEarlier(earlier);
+            applyEarlierSessions(earlier);
         } else if (message instanceof PeerMessage.EvacuationNotice notice) {
-            take(notice.evacuations());
+            apply(notice.evacuations());
         } else if (message instanceof PeerMessage.ConfigNotice notice) {
             fetchIfMissing(link, notice.generation());
         } else if (message instanceof PeerMessage.CommittedConfig committed) {
-            take(committed);
+            apply(committed);
         } else if (message instanceof PeerMessage.CommittedDelta delta) {
-            take(link, delta);
+            apply(link, delta);
         } else if (message instanceof PeerMessage.QuotaAnswer answer) {
             listener.quotaAnswered(answer);
         }
     }
 
-    private void takeEarlier(PeerMessage.EarlierSessions earlier) {
+    private void applyEarlierSessions(PeerMessage.EarlierSessions earlier) {
         try {
-            registry.toldEarlier(codec.decode(earlier.sessions(), PeerMessage.Sessions.class).sessions());
+            registry.addEarlierSessions(codec.decode(earlier.sessions(), PeerMessage.Sessions.class).sessions());
         } catch (PeerCodec.MalformedMessageException e) {
             LOG.log(System.Logger.Level.ERROR, "earlier servers can't be read: " + e.getMessage());
         }
     }
 
-    private void polled(Link link, PeerMessage.PollReply reply) {
-        registry.polled(link.ip, reply.warming());
-        reply.controlNodes().forEach(this::learn);
+    private void pollAnswered(Link link, PeerMessage.PollReply reply) {
+        registry.pollAnswered(link.ip, reply.warming());
+        reply.controlNodes().forEach(this::addControlNode);
         fetchIfMissing(link, reply.generation());
         replicas = reply.replicas();
         listener.dataNodes(reply.dataNodes(), reply.warming());
-        take(reply.evacuations()); // before the point in time up to which all is known here
-        Long askedNanos = link.polls.remove(reply.id());
-        if (askedNanos == null) {
+        apply(reply.evacuations()); // before the point in time up to which all is known here
+        Long polledNanos = link.openPolls.remove(reply.id());
+        if (polledNanos == null) {
             return;
         }
         if (reply.freshAgeMicros() >= 0) {
             // Counted from before the question, so that the time on the way makes the point older, never newer.
-            fresh(new FreshPoint(askedNanos - TimeUnit.MICROSECONDS.toNanos(reply.freshAgeMicros()),
+            updateFreshness(new FreshnessPoint(polledNanos - TimeUnit.MICROSECONDS.toNanos(reply.freshAgeMicros()),
                     reply.generation()));
         }
     }
 
-    private void fresh(FreshPoint point) {
+    private void updateFreshness(FreshnessPoint point) {
         if (point.generation() > generation) {
             if (waitingForGeneration == null || point.nanos() - waitingForGeneration.nanos() > 0) {
                 waitingForGeneration = point;
@@ -305,31 +305,31 @@
                 if (newest > generation && link.link != null) {
                     link.link.send(new PeerMessage.ConfigRequest(generation));
                 }
-            }, FETCH_AFTER_MS, TimeUnit.MILLISECONDS);
+            }, FETCH_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** What was in force before, as a control node that lags behind tells it, is passed over. */
-    private void take(Evacuations told) {
-        if (told.revision() > evacuations.revision()) {
-            evacuations = told;
-            registry.evacuated(told.zones());
+    private void apply(Evacuations received) {
+        if (received.revision() > evacuations.revision()) {
+            evacuations = received;
+            registry.setEvacuatedZones(received.zones());
         }
     }
 
-    private void take(PeerMessage.CommittedConfig committed) {
+    private void apply(PeerMessage.CommittedConfig committed) {
         if (committed.generation() <= generation) {
             return;
         }
         try {
-            taken(codec.decode(committed.configuration(), FleetConfiguration.class));
+            configurationReceived(codec.decode(committed.configuration(), FleetConfiguration.class));
         } catch (PeerCodec.MalformedMessageException e) {
             LOG.log(System.Logger.Level.ERROR, "a committed configuration can't be read: " + e.getMessage());
         }
     }
 
     /** A change of another generation than the one here is of no use: the whole is asked for. */
-    private void take(Link link, PeerMessage.CommittedDelta committed) {
+    private void apply(Link link, PeerMessage.CommittedDelta committed) {
         if (committed.generation() <= generation) {
             return;
         }
@@ -338,20 +338,20 @@
             return;
         }
         try {
-            taken(codec.decode(committed.delta(), ConfigDelta.class).applyTo(configuration));
+            configurationReceived(codec.decode(committed.delta(), ConfigDelta.class).applyTo(configuration));
         } catch (PeerCodec.MalformedMessageException e) {
             LOG.log(System.Logger.Level.ERROR, "a change of the configuration can't be read: " + e.getMessage());
         }
     }
 
-    private void taken(FleetConfiguration newer) {
+    private void configurationReceived(FleetConfiguration newer) {
         configuration = newer;
         generation = newer.generation();
         listener.configuration(newer);
         if (waitingForGeneration != null && waitingForGeneration.generation() <= generation) {
-            FreshPoint point = waitingForGeneration;
+            FreshnessPoint point = waitingForGeneration;
             waitingForGeneration = null;
-            fresh(point);
+            updateFreshness(point);
         }
     }
 }
--- a/src/main/java/routerfleet/data/DataNode.java
+++ b/src/main/java/routerfleet/data/DataNode.java
@@ -100,7 +100,7 @@
         });
         loop.execute(control::start);
         loop.scheduleWithFixedDelay(this::checkTimeouts, TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(registry::tick, MS_PER_SECOND, MS_PER_SECOND, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(registry::removeStale, MS_PER_SECOND, MS_PER_SECOND, TimeUnit.MILLISECONDS);
         LOG.log(System.Logger.Level.INFO, "data node " + settings.nodeName() + " listens at " + settings.frontend());
     }
 
@@ -224,7 +224,7 @@
 
         @Override
         public void dataNodes(int present, boolean warming) {
-            fleetSize.told(present, warming, SteadyClock.millis());
+            fleetSize.countReported(present, warming, SteadyClock.millis());
         }
 
         @Override
--- a/src/main/java/routerfleet/data/DataPlane.java
+++ b/src/main/java/routerfleet/data/DataPlane.java
@@ -71,7 +71,7 @@
         for (BackendConfig backend : newer.backends()) {
             if (backend.warmupPerS() > 0) {
                 double maxPerSecond = backend.warmupPerS() * bounds.warmupOvershoot() + bounds.warmupSlack();
-                coldRates.put(backend.name(), WarmupRate.of(maxPerSecond));
+                coldRates.put(backend.name(), WarmupRate.maxRate(maxPerSecond));
             }
         }
     }
@@ -91,7 +91,7 @@
     /** The chance of a permission for a cold server of that service in one slice of time ({@link ColdAdmission}). */
     double coldPermitProbability(String backend) {
         Double rate = coldRates.get(backend);
-        return rate == null ? ColdAdmission.NO_BOUND : WarmupRate.chance(rate, fleetSize.divisor());
+        return rate == null ? ColdAdmission.UNLIMITED : WarmupRate.permitProbability(rate, fleetSize.divisor());
     }
 
     /** Whether keys may be trusted: no configuration that took one away can be in force without being known here. */
--- a/src/main/java/routerfleet/data/Exchange.java
+++ b/src/main/java/routerfleet/data/Exchange.java
@@ -70,7 +70,7 @@
             return;
         }
         admitted = admission.get();
-        plane.retryBudget(admitted.backend()).earned(plane.fleetSize().divisor());
+        plane.retryBudget(admitted.backend()).requestReceived(plane.fleetSize().divisor());
         timer = plane.loop().schedule(this::onDeadline, Math.max(1, remainingMs()), TimeUnit.MILLISECONDS);
         if (admitted.tenant() == null) {
             send();
@@ -110,16 +110,16 @@
         ServerPool pool = pool();
         int capacity = pool.size() == 0 ? 0 : pool.servers().get(0).capacity();
         int limit = plane.inFlightLimit(admitted.backend(), capacity);
-        pool.coldAdmission().chance(plane.coldPermitProbability(admitted.backend()));
+        pool.coldAdmission().permitProbability(plane.coldPermitProbability(admitted.backend()));
         Server server = pool.choose(admitted.promptProfile(), limit, triedServers, now);
         if (server == null) {
             giveUp();
             return;
         }
         triedServers.add(server);
-        attempt = new Attempt(server, pool.coldAdmission().claim(server, now));
-        server.sent(now);
-        Server.Idle idle = server.takeIdle(now, pool.restLimit().maxIdleMs(now));
+        attempt = new Attempt(server, pool.coldAdmission().acquirePermit(server, now));
+        server.requestSent(now);
+        Server.IdleConnection idle = server.takeIdleConnection(now, pool.idleReuseLimit().maxIdleMs(now));
         if (idle != null) {
             attempt.connectionIdleMs = now - idle.sinceMs();
             attempt.sendOn(idle.connection());
@@ -151,7 +151,7 @@
     private void onConnectFailed(Attempt failed) {
         long now = SteadyClock.millis();
         failed.end();
-        failed.server.failed(now);
+        failed.server.backOff(now);
         recordOutcome(failed, failureLatencyMs(), false);
         if (++connectFailures < MAX_CONNECT_FAILURES) {
             send();
@@ -198,8 +198,8 @@
                 return;
             }
             sentMs = SteadyClock.millis();
-            pool().coldAdmission().chance(plane.coldPermitProbability(admitted.backend()));
-            if (!pool().coldAdmission().holds(server, coldPermitSlice, sentMs)) {
+            pool().coldAdmission().permitProbability(plane.coldPermitProbability(admitted.backend()));
+            if (!pool().coldAdmission().maySend(server, coldPermitSlice, sentMs)) {
                 on.release(sentMs);
                 end();
                 Exchange.this.send();
@@ -214,7 +214,7 @@
         void end() {
             if (!ended) {
                 ended = true;
-                server.ended();
+                server.requestEnded();
                 if (attempt == this) {
                     attempt = null;
                 }
@@ -238,7 +238,7 @@
             head = response;
             String warmup = response.headers().get(ProxyHeaders.WARMUP);
             if (warmup != null) {
-                server.warmth().answered(ProxyHeaders.parseMillis(warmup), SteadyClock.millis());
+                server.warmupState().responseReported(ProxyHeaders.parseMillis(warmup), SteadyClock.millis());
             }
             notExecuted = response.headers().contains(ProxyHeaders.NOT_EXECUTED) || response.status().code() == 421;
             boolean success = response.status().code() / 100 == 2;
@@ -298,13 +298,13 @@
             if (notExecuted) {
                 handleNotExecuted();
             } else if (streaming) {
-                server.succeeded();
+                server.recordSuccess();
                 recordOutcome(this, latencyMs(), true);
                 relay.writeHead(head);
                 finish();
                 responseWriter.endStream();
             } else if (relay.hasStarted()) {
-                server.erred(SteadyClock.millis());
+                server.recordError(SteadyClock.millis());
                 abortResponse();
             } else {
                 forwardResponse();
@@ -313,11 +313,11 @@
 
         private void handleNotExecuted() {
             if (head.status().code() == 421) {
-                plane.registry().end(server.uid());
+                plane.registry().markEnded(server.uid());
             } else {
                 recordOutcome(this, failureLatencyMs(), false);
             }
-            if (sentCount < admitted.route().attempts() && plane.retryBudget(admitted.backend()).take()) {
+            if (sentCount < admitted.route().attempts() && plane.retryBudget(admitted.backend()).tryAcquire()) {
                 send();
             } else {
                 giveUp();
@@ -327,10 +327,10 @@
         private void forwardResponse() {
             boolean success = head.status().code() / 100 == 2;
             if (head.status().code() / 100 == 5) {
-                server.erred(SteadyClock.millis());
+                server.recordError(SteadyClock.millis());
                 recordOutcome(this, failureLatencyMs(), false);
             } else {
-                server.succeeded();
+                server.recordSuccess();
                 recordOutcome(this, latencyMs(), success);
             }
             HttpHeaders headers = ProxyHeaders.withoutValidation().set(head.headers());
@@ -354,9 +354,9 @@
             mayHaveExecuted = true;
             long now = SteadyClock.millis();
             if (head == null) {
-                pool().restLimit().connectionLost(connectionIdleMs, now);
+                pool().idleReuseLimit().connectionLost(connectionIdleMs, now);
             }
-            server.erred(now);
+            server.recordError(now);
             recordOutcome(this, failureLatencyMs(), false);
             retryOrFail();
         }
@@ -364,7 +364,7 @@
 
     private void retryOrFail() {
         boolean retry = admitted.route().idempotent() && sentCount < admitted.route().attempts()
-                && remainingMs() > MIN_REMAINING_MS && plane.retryBudget(admitted.backend()).take();
+                && remainingMs() > MIN_REMAINING_MS && plane.retryBudget(admitted.backend()).tryAcquire();
         if (retry) {
             send();
         } else {
@@ -381,7 +381,7 @@
     }
 
     private void recordOutcome(Attempt of, double latencyMs, boolean success) {
-        pool().learn(admitted.promptProfile(), of.server, latencyMs, success);
+        pool().recordOutcome(admitted.promptProfile(), of.server, latencyMs, success);
     }
 
     // ---- ends
@@ -413,7 +413,7 @@
         if (attempt != null && attempt.connection != null) {
             mayHaveExecuted = true;
             if (attempt.head == null && isSilent(attempt.server, SteadyClock.millis())) {
-                attempt.server.failed(SteadyClock.millis());
+                attempt.server.backOff(SteadyClock.millis());
             }
             recordOutcome(attempt, failureLatencyMs(), false);
         }
@@ -427,7 +427,7 @@
     }
 
     private boolean isSilent(Server server, long nowMs) {
-        return server.silentToTwoMs(nowMs) > SILENCE_TIMEOUT_MS
+        return server.silentWithTwoRequestsMs(nowMs) > SILENCE_TIMEOUT_MS
                 || server.silentMs(nowMs) > Math.max(SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_FRACTION * admitted.route().timeoutMs());
     }
 
@@ -439,7 +439,7 @@
         if (nowMs - attempt.sentMs > SILENCE_TIMEOUT_MS && isSilent(attempt.server, nowMs)
                 && sentCount < admitted.route().attempts()) {
             Attempt silent = attempt;
-            silent.server.failed(nowMs);
+            silent.server.backOff(nowMs);
             silent.connection.abandon();
             silent.failed("silent");
         }
--- a/src/main/java/routerfleet/data/FleetSize.java
+++ b/src/main/java/routerfleet/data/FleetSize.java
@@ -6,15 +6,15 @@
  * <p>A control node counts those that have asked it lately. One that has just started, or is cut off from some of them,
  * counts too few; if a data node believed that, all of them together would take more than there is. So what a starting
  * control node says does not count, and parts are measured by the most that was told within the last
- * {@value #REMEMBERED_MS} ms.
+ * {@value #RETENTION_MS} ms.
  */
 final class FleetSize {
     /** For how long at least the largest count holds, in milliseconds. */
-    static final long REMEMBERED_MS = 300_000;
+    static final long RETENTION_MS = 300_000;
 
     private int latest = 1;
-    private int most;
-    private int mostBefore;
+    private int max;
+    private int previousMax;
     private long periodStartMs;
 
     /**
@@ -22,17 +22,17 @@
      *
      * @param warming whether it started so lately that it may not have heard of all
      */
-    void told(int present, boolean warming, long nowMs) {
+    void countReported(int present, boolean warming, long nowMs) {
         if (warming) {
             return;
         }
-        if (nowMs - periodStartMs > REMEMBERED_MS) {
-            mostBefore = nowMs - periodStartMs > 2 * REMEMBERED_MS ? 0 : most;
-            most = 0;
+        if (nowMs - periodStartMs > RETENTION_MS) {
+            previousMax = nowMs - periodStartMs > 2 * RETENTION_MS ? 0 : max;
+            max = 0;
             periodStartMs = nowMs;
         }
         latest = Math.max(1, present);
-        most = Math.max(most, latest);
+        max = Math.max(max, latest);
     }
 
     /** How many there are now, as far as is known; at least 1. */
@@ -42,6 +42,6 @@
 
     /** By how many a common allowance is to be divided; 0 where no control node that knows has told yet. */
     int divisor() {
-        return Math.max(most, mostBefore);
+        return Math.max(max, previousMax);
     }
 }
--- a/src/main/java/routerfleet/data/PromptPrefix.java
+++ b/src/main/java/routerfleet/data/PromptPrefix.java
@@ -5,15 +5,15 @@
 /**
  * The shared part of a prompt that decides where its request is best read.
  *
- * @param key the same for requests that share the part; 0 where nothing worth finding again is shared
+ * @param hash the same for requests that share the part; 0 where nothing worth finding again is shared
  * @param tokens length of what is shared
  * @param promptTokens length of the whole prompt, as far as it is told
  */
-record PromptPrefix(long key, long tokens, long promptTokens) {
+record PromptPrefix(long hash, long tokens, long promptTokens) {
     static final PromptPrefix NONE = new PromptPrefix(0, 0, 0);
 
     /** Shorter parts are read anew faster than a server is chosen for them. */
-    private static final long LEAST_TOKENS = 512;
+    private static final long MIN_SHARED_TOKENS = 512;
 
     /**
      * Reads a list of ID:TOKENS. The last part belongs to the request itself; of the others the chain up to the longest
@@ -24,34 +24,34 @@
             return NONE;
         }
         String[] parts = header.split(",");
-        long chain = 0;
+        long prefixHash = 0;
         long tokens = 0;
         long longest = 0;
-        long key = 0;
-        long shared = 0;
+        long longestHash = 0;
+        long sharedTokens = 0;
         for (int i = 0; i < parts.length; i++) {
             int colon = parts[i].indexOf(':');
             if (colon < 0) {
                 return NONE;
             }
-            long length = number(parts[i].substring(colon + 1));
+            long length = parseTokens(parts[i].substring(colon + 1));
             tokens += length;
-            chain = HashMix.mix(chain * 31 + parts[i].substring(0, colon).strip().hashCode());
+            prefixHash = HashMix.mix(prefixHash * 31 + parts[i].substring(0, colon).strip().hashCode());
             if (i < parts.length - 1 && length >= longest) {
                 longest = length;
-                key = chain | 1;
-                shared = tokens;
+                longestHash = prefixHash | 1;
+                sharedTokens = tokens;
             }
         }
-        return shared >= LEAST_TOKENS ? new PromptPrefix(key, shared, tokens) : new PromptPrefix(0, 0, tokens);
+        return sharedTokens >= MIN_SHARED_TOKENS ? new PromptPrefix(longestHash, sharedTokens, tokens) : new PromptPrefix(0, 0, tokens);
     }
 
     /** Whether it shares a part that is worth finding again. */
     boolean isShared() {
-        return key != 0;
+        return hash != 0;
     }
 
-    private static long number(String text) {
+    private static long parseTokens(String text) {
         try {
             return Math.max(0, Long.parseLong(text.strip()));
         } catch (NumberFormatException e) {
--- a/src/main/java/routerfleet/data/QuotaClient.java
+++ b/src/main/java/routerfleet/data/QuotaClient.java
@@ -18,24 +18,24 @@
  * where only all together hold enough. Where the parts of those that answer do not suffice and one of them gives no answer,
  * the node's own reserve decides.
  *
- * <p>Bound: {@value #MOST_OPEN} open questions; one account a configured tenant. A request costs at most
+ * <p>Bound: {@value #MAX_OPEN_REQUESTS} open questions; one account a configured tenant. A request costs at most
  * twice {@link QuotaDivision#HOLDERS} questions. For one event loop.
  */
 final class QuotaClient {
     /** A control node that has not answered by then is passed over. */
-    static final long ANSWER_MS = 50;
-    private static final int MOST_OPEN = 4_096;
+    static final long ANSWER_TIMEOUT_MS = 50;
+    private static final int MAX_OPEN_REQUESTS = 4_096;
     /** For how long a control node that did not answer is asked last. */
-    private static final long SUSPECT_MS = 400;
-    /** One that has answered nothing for longer is asked only once in each {@value #SUSPECT_MS} ms. */
-    private static final long SILENT_MS = 600;
+    private static final long SUSPECT_DURATION_MS = 400;
+    /** One that has answered nothing for longer is asked only once in each {@value #SUSPECT_DURATION_MS} ms. */
+    private static final long SILENCE_TIMEOUT_MS = 600;
     /** What a late answer granted may be used by another request for so long. */
-    private static final long SPARE_MS = 500;
+    private static final long SPARE_DURATION_MS = 500;
     /** After a denial, requests that would be denied as well get no question for so long at most. */
-    private static final long DENIED_MS = 60;
-    private static final double MS_A_SECOND = 1_000;
+    private static final long MAX_DENIAL_CACHE_MS = 60;
+    private static final double MS_PER_SECOND = 1_000;
     /** Sums of parts may miss the whole by so little. */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** Whether a request may be sent. */
     enum Outcome { ADMITTED, DENIED, UNKNOWN }
@@ -47,7 +47,7 @@
     }
 
     /** Gets the answer to one request's question, at once or later. */
-    interface Applicant {
+    interface AdmissionCallback {
         /** @return whether the request is still there; else what was admitted is kept for another one */
         boolean decided(Admission admission);
     }
@@ -75,7 +75,7 @@
         private double deniedAmount;
         private long deniedUntilMs;
         private long deniedWaitMs;
-        private int turn;
+        private int nextHolder;
 
         Account(long windowMs) {
             reserve = new QuotaReserve(windowMs);
@@ -83,123 +83,123 @@
     }
 
     /** What a control node is asked for. */
-    private record Part(String controlNode, double amount) { }
+    private record ShareRequest(String controlNode, double amount) { }
 
     /** A control node that left a question without an answer, the first at one time, and until when it is asked last. */
-    private record Silence(long sinceMs, long suspectUntilMs) { }
+    private record Unresponsiveness(long sinceMs, long suspectUntilMs) { }
 
     /** A part that has been asked for. */
-    private record OpenAsk(Question question, Part part) { }
+    private record PendingRequest(AdmissionCheck check, ShareRequest shareRequest) { }
 
     /**
      * One request that waits for its answer. First each holder is asked for the whole of it; where all deny, and hold
      * enough together, each is asked for what it holds.
      */
-    private final class Question {
+    private final class AdmissionCheck {
         private final TenantConfig tenant;
         private final Account account;
         private final double amount;
-        private final Applicant applicant;
-        private final Deque<Part> left = new ArrayDeque<>();
-        private final List<Part> held = new ArrayList<>(QuotaDivision.HOLDERS);
-        private long leastWaitMs = Long.MAX_VALUE;
+        private final AdmissionCallback callback;
+        private final Deque<ShareRequest> remaining = new ArrayDeque<>();
+        private final List<ShareRequest> availableShares = new ArrayList<>(QuotaDivision.HOLDERS);
+        private long minWaitMs = Long.MAX_VALUE;
         private double fairLevel;
         private boolean gathering;
         /** Whether a holder gave no answer: what it holds is out of reach. */
-        private boolean partMissing;
-        private double gathered;
+        private boolean holderMissing;
+        private double gatheredAmount;
         private boolean decided;
 
-        Question(TenantConfig tenant, Account account, double amount, Applicant applicant) {
+        AdmissionCheck(TenantConfig tenant, Account account, double amount, AdmissionCallback callback) {
             this.tenant = tenant;
             this.account = account;
             this.amount = amount;
-            this.applicant = applicant;
+            this.callback = callback;
             List<String> holders = QuotaDivision.holders(tenant.name(), transport.controlNodes());
-            order(holders, account.turn++).forEach(holder -> left.add(new Part(holder, amount)));
-            partMissing = left.size() < holders.size();
+            orderHolders(holders, account.nextHolder++).forEach(holder -> remaining.add(new ShareRequest(holder, amount)));
+            holderMissing = remaining.size() < holders.size();
         }
 
-        void askNext() {
+        void requestNext() {
             if (decided) {
                 return;
             }
-            while (!left.isEmpty()) {
-                Part part = left.poll();
+            while (!remaining.isEmpty()) {
+                ShareRequest share = remaining.poll();
                 long id = ++lastId;
-                if (transport.send(part.controlNode(), ask(id, part))) {
-                    open.put(id, new OpenAsk(this, part));
-                    transport.schedule(() -> unanswered(id), ANSWER_MS);
+                if (transport.send(share.controlNode(), message(id, share))) {
+                    pending.put(id, new PendingRequest(this, share));
+                    transport.schedule(() -> onAnswerTimeout(id), ANSWER_TIMEOUT_MS);
                     return;
                 }
-                partMissing = true;
+                holderMissing = true;
             }
-            exhausted();
+            allHoldersAsked();
         }
 
         /** The holder asked last gives no answer, or none that counts. */
-        void passOver() {
-            partMissing = true;
-            askNext();
+        void skipHolder() {
+            holderMissing = true;
+            requestNext();
         }
 
-        private PeerMessage.QuotaAsk ask(long id, Part part) {
-            return new PeerMessage.QuotaAsk(id, tenant.name(), part.amount(), gathering);
+        private PeerMessage.QuotaAsk message(long id, ShareRequest share) {
+            return new PeerMessage.QuotaAsk(id, tenant.name(), share.amount(), gathering);
         }
 
         /** Whether a grant that comes late may still be of use here: it was asked for the whole of the request. */
-        boolean waits(Part part) {
-            return !decided && !gathering && part.amount() >= amount - ROUNDING;
+        boolean canUse(ShareRequest share) {
+            return !decided && !gathering && share.amount() >= amount - ROUNDING_TOLERANCE;
         }
 
-        void granted(Part part) {
+        void granted(ShareRequest share) {
             if (decided) {
-                keep(account, part.amount()); // one that had been passed over was faster
+                keepSpare(account, share.amount()); // one that had been passed over was faster
                 return;
             }
-            gathered += part.amount();
-            if (gathered >= amount - ROUNDING) {
+            gatheredAmount += share.amount();
+            if (gatheredAmount >= amount - ROUNDING_TOLERANCE) {
                 if (!decide(Admission.ADMITTED)) {
-                    keep(account, gathered);
+                    keepSpare(account, gatheredAmount);
                 }
             } else {
-                askNext();
+                requestNext();
             }
         }
 
         private boolean decide(Admission admission) {
             decided = true;
-            return applicant.decided(admission);
+            return callback.decided(admission);
         }
 
-        void denied(Part part, PeerMessage.QuotaAnswer answer) {
+        void denied(ShareRequest share, PeerMessage.QuotaAnswer answer) {
             if (decided) {
                 return;
             }
-            leastWaitMs = Math.min(leastWaitMs, answer.waitMs());
+            minWaitMs = Math.min(minWaitMs, answer.waitMs());
             if (gathering) {
-                left.clear(); // others were faster
+                remaining.clear(); // others were faster
             } else {
                 fairLevel = Math.max(fairLevel, answer.fairLevel());
-                held.add(new Part(part.controlNode(), answer.available()));
+                availableShares.add(new ShareRequest(share.controlNode(), answer.available()));
             }
-            askNext();
+            requestNext();
         }
 
         /** Where it is not known how many share the reserve, there is none. */
-        private boolean takeReserve() {
+        private boolean tryReserve() {
             int sharers = fleetSize.divisor();
-            return sharers > 0 && account.reserve.take(amount, QuotaDivision.reserve(tenant, bounds, sharers),
+            return sharers > 0 && account.reserve.tryAcquire(amount, QuotaDivision.reserve(tenant, bounds, sharers),
                     transport.nowMs());
         }
 
-        private void exhausted() {
-            boolean denied = leastWaitMs < Long.MAX_VALUE;
-            if (denied && !gathering && heldTogether() >= needed()) {
+        private void allHoldersAsked() {
+            boolean denied = minWaitMs < Long.MAX_VALUE;
+            if (denied && !gathering && totalAvailable() >= requiredAmount()) {
                 gather();
-            } else if ((partMissing || !denied) && takeReserve()) {
+            } else if ((holderMissing || !denied) && tryReserve()) {
                 if (!decide(Admission.ADMITTED)) {
-                    keep(account, amount);
+                    keepSpare(account, amount);
                 }
             } else if (denied) {
                 deny();
@@ -209,37 +209,37 @@
         }
 
         /** What all holders together have to hold: a small request leaves room for a large one. */
-        private double needed() {
+        private double requiredAmount() {
             return amount * 2 >= fairLevel ? amount : fairLevel;
         }
 
-        private double heldTogether() {
-            return held.stream().mapToDouble(Part::amount).sum();
+        private double totalAvailable() {
+            return availableShares.stream().mapToDouble(ShareRequest::amount).sum();
         }
 
         private void gather() {
             gathering = true;
             double missing = amount;
-            for (Part part : held) {
-                double taken = Math.min(missing, part.amount());
+            for (ShareRequest share : availableShares) {
+                double taken = Math.min(missing, share.amount());
                 missing -= taken;
                 if (taken > 0) {
-                    left.add(new Part(part.controlNode(), taken));
+                    remaining.add(new ShareRequest(share.controlNode(), taken));
                 }
             }
-            askNext();
+            requestNext();
         }
 
         private void deny() {
-            if (gathered > 0) {
-                keep(account, gathered);
+            if (gatheredAmount > 0) {
+                keepSpare(account, gatheredAmount);
             }
-            double missing = needed() - heldTogether();
-            long togetherMs = (long) Math.ceil(missing / tenant.ratePerS() * MS_A_SECOND);
-            long waitMs = Math.max(1, Math.min(leastWaitMs, togetherMs));
-            account.deniedAmount = heldTogether() < fairLevel ? 0 : amount;
+            double missing = requiredAmount() - totalAvailable();
+            long togetherMs = (long) Math.ceil(missing / tenant.ratePerS() * MS_PER_SECOND);
+            long waitMs = Math.max(1, Math.min(minWaitMs, togetherMs));
+            account.deniedAmount = totalAvailable() < fairLevel ? 0 : amount;
             account.deniedWaitMs = waitMs;
-            account.deniedUntilMs = transport.nowMs() + Math.min(DENIED_MS, waitMs);
+            account.deniedUntilMs = transport.nowMs() + Math.min(MAX_DENIAL_CACHE_MS, waitMs);
             decide(new Admission(Outcome.DENIED, waitMs));
         }
     }
@@ -248,17 +248,17 @@
     private final FleetSize fleetSize;
     private final Transport transport;
     private final Map<String, Account> accounts = new HashMap<>();
-    private final Map<Long, OpenAsk> open = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     /** What may still be answered, after another control node has been asked. */
-    private final Map<Long, OpenAsk> late = new LinkedHashMap<>() {
+    private final Map<Long, PendingRequest> timedOut = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, OpenAsk> eldest) {
-            return size() > MOST_OPEN;
+        protected boolean removeEldestEntry(Map.Entry<Long, PendingRequest> eldest) {
+            return size() > MAX_OPEN_REQUESTS;
         }
     };
-    private final Map<String, Silence> silences = new HashMap<>();
+    private final Map<String, Unresponsiveness> unresponsive = new HashMap<>();
     private long lastId;
 
     /** @param fleetSize how many data nodes share the reserves */
@@ -272,7 +272,7 @@
     void configure(List<TenantConfig> tenants) {
         Map<String, Account> before = new HashMap<>(accounts);
         accounts.clear();
-        long windowMs = (long) (bounds.quotaWindowS() * MS_A_SECOND);
+        long windowMs = (long) (bounds.quotaWindowS() * MS_PER_SECOND);
         for (TenantConfig tenant : tenants) {
             Account known = before.get(tenant.name());
             accounts.put(tenant.name(), known == null ? new Account(windowMs) : known);
@@ -288,9 +288,9 @@
             return tenant.uncachedTokens();
         }
         double sum = 0;
-        for (String part : tokenUsage.split(",")) {
+        for (String count : tokenUsage.split(",")) {
             try {
-                sum += Math.max(0, Double.parseDouble(part.strip()));
+                sum += Math.max(0, Double.parseDouble(count.strip()));
             } catch (NumberFormatException e) {
                 return tenant.uncachedTokens();
             }
@@ -299,34 +299,34 @@
     }
 
     /** Counts a request if it is within its tenant's limit. */
-    void admit(TenantConfig tenant, double amount, Applicant applicant) {
+    void admit(TenantConfig tenant, double amount, AdmissionCallback callback) {
         Account account = accounts.get(tenant.name());
         long nowMs = transport.nowMs();
         if (account == null || tenant.ratePerS() <= 0) {
-            applicant.decided(Admission.ADMITTED);
+            callback.decided(Admission.ADMITTED);
         } else if (nowMs < account.spareUntilMs && account.spare >= amount) {
             account.spare -= amount;
-            applicant.decided(Admission.ADMITTED);
+            callback.decided(Admission.ADMITTED);
         } else if (nowMs < account.deniedUntilMs && amount >= account.deniedAmount) {
-            applicant.decided(new Admission(Outcome.DENIED, account.deniedWaitMs));
-        } else if (open.size() >= MOST_OPEN) {
-            applicant.decided(Admission.UNKNOWN);
+            callback.decided(new Admission(Outcome.DENIED, account.deniedWaitMs));
+        } else if (pending.size() >= MAX_OPEN_REQUESTS) {
+            callback.decided(Admission.UNKNOWN);
         } else {
-            new Question(tenant, account, amount, applicant).askNext();
+            new AdmissionCheck(tenant, account, amount, callback).requestNext();
         }
     }
 
     /** Control nodes that answer come first, each in its turn; those that have been silent for long are left out. */
-    private List<String> order(List<String> holders, int turn) {
+    private List<String> orderHolders(List<String> holders, int turn) {
         long nowMs = transport.nowMs();
         List<String> ordered = new ArrayList<>(holders.size());
         List<String> suspects = new ArrayList<>(0);
         for (int i = 0; i < holders.size(); i++) {
             String holder = holders.get(Math.floorMod(turn + i, holders.size()));
-            Silence silence = silences.get(holder);
+            Unresponsiveness silence = unresponsive.get(holder);
             if (silence == null || silence.suspectUntilMs() <= nowMs) {
                 ordered.add(holder);
-            } else if (nowMs - silence.sinceMs() < SILENT_MS) {
+            } else if (nowMs - silence.sinceMs() < SILENCE_TIMEOUT_MS) {
                 suspects.add(holder);
             }
         }
@@ -337,65 +337,65 @@
     /** A control node's answer. */
     void answered(PeerMessage.QuotaAnswer answer) {
         boolean granted = answer.verdict() == PeerMessage.QuotaVerdict.GRANTED;
-        OpenAsk ask = open.remove(answer.id());
-        if (ask == null) {
-            answeredLate(late.remove(answer.id()), granted);
+        PendingRequest request = pending.remove(answer.id());
+        if (request == null) {
+            answeredAfterTimeout(timedOut.remove(answer.id()), granted);
             return;
         }
-        silences.remove(ask.part().controlNode());
+        unresponsive.remove(request.shareRequest().controlNode());
         if (granted) {
-            ask.question().granted(ask.part());
+            request.check().granted(request.shareRequest());
         } else if (answer.verdict() == PeerMessage.QuotaVerdict.DENIED) {
-            ask.question().denied(ask.part(), answer);
+            request.check().denied(request.shareRequest(), answer);
         } else {
-            ask.question().passOver();
+            request.check().skipHolder();
         }
     }
 
     /** A control node that had been passed over answers: a grant is for the request that waits, else for the next one. */
-    private void answeredLate(OpenAsk ask, boolean granted) {
-        if (ask != null) {
-            silences.remove(ask.part().controlNode());
+    private void answeredAfterTimeout(PendingRequest request, boolean granted) {
+        if (request != null) {
+            unresponsive.remove(request.shareRequest().controlNode());
         }
-        if (ask == null || !granted) {
+        if (request == null || !granted) {
             return;
         }
-        if (ask.question().waits(ask.part())) {
-            ask.question().granted(ask.part());
+        if (request.check().canUse(request.shareRequest())) {
+            request.check().granted(request.shareRequest());
         } else {
-            keep(ask.question().account, ask.part().amount());
+            keepSpare(request.check().account, request.shareRequest().amount());
         }
     }
 
-    private void unanswered(long id) {
-        OpenAsk ask = open.remove(id);
-        if (ask != null) {
-            if (transport.controlNodes().contains(ask.part().controlNode())) {
-                silent(ask.part().controlNode());
+    private void onAnswerTimeout(long id) {
+        PendingRequest request = pending.remove(id);
+        if (request != null) {
+            if (transport.controlNodes().contains(request.shareRequest().controlNode())) {
+                markUnresponsive(request.shareRequest().controlNode());
             }
-            late.put(id, ask);
-            ask.question().passOver();
+            timedOut.put(id, request);
+            request.check().skipHolder();
         }
     }
 
-    private void silent(String controlNode) {
+    private void markUnresponsive(String controlNode) {
         long nowMs = transport.nowMs();
-        Silence before = silences.get(controlNode);
-        silences.put(controlNode, new Silence(before == null ? nowMs : before.sinceMs(), nowMs + SUSPECT_MS));
+        Unresponsiveness before = unresponsive.get(controlNode);
+        unresponsive.put(controlNode, new Unresponsiveness(before == null ? nowMs : before.sinceMs(), nowMs + SUSPECT_DURATION_MS));
     }
 
-    private void keep(Account account, double amount) {
+    private void keepSpare(Account account, double amount) {
         long nowMs = transport.nowMs();
         account.spare = (nowMs < account.spareUntilMs ? account.spare : 0) + amount;
-        account.spareUntilMs = nowMs + SPARE_MS;
+        account.spareUntilMs = nowMs + SPARE_DURATION_MS;
     }
 
     /** A control node cannot be reached any more: what it was asked goes to the next one. */
     void disconnected(String controlNode) {
-        silences.remove(controlNode);
-        List<Long> lost = open.entrySet().stream()
-                .filter(entry -> controlNode.equals(entry.getValue().part().controlNode()))
+        unresponsive.remove(controlNode);
+        List<Long> lost = pending.entrySet().stream()
+                .filter(entry -> controlNode.equals(entry.getValue().shareRequest().controlNode()))
                 .map(Map.Entry::getKey).toList();
-        lost.forEach(id -> open.remove(id).question().passOver());
+        lost.forEach(id -> pending.remove(id).check().skipHolder());
     }
 }
--- a/src/main/java/routerfleet/data/QuotaReserve.java
+++ b/src/main/java/routerfleet/data/QuotaReserve.java
@@ -17,13 +17,13 @@
     }
 
     /** Takes an amount, where the window's total stays within the most that is allowed. */
-    boolean take(double amount, double most, long nowMs) {
+    boolean tryAcquire(double amount, double limit, long nowMs) {
         advance(nowMs / slotMs);
         double total = 0;
         for (double slot : used) {
             total += slot;
         }
-        if (total + amount > most) {
+        if (total + amount > limit) {
             return false;
         }
         used[(int) (newestSlot % used.length)] += amount;
--- a/src/main/java/routerfleet/data/RetryBudget.java
+++ b/src/main/java/routerfleet/data/RetryBudget.java
@@ -8,9 +8,9 @@
  */
 final class RetryBudget {
     /** Part of what is allowed that is used, so that rounding and nodes that come and go do not add up to more. */
-    private static final double USED_RATIO = 0.7;
-    private static final double USED_SLACK = 0.5;
-    private static final double LEAST_MOST = 1;
+    private static final double RATIO_USED_FRACTION = 0.7;
+    private static final double SLACK_USED_FRACTION = 0.5;
+    private static final double MIN_MAX_TOKENS = 1;
 
     private final Bounds bounds;
     private double tokens;
@@ -20,16 +20,16 @@
     }
 
     /** A request came in. @param nodes how many data nodes there are */
-    void earned(int nodes) {
-        tokens = Math.min(most(nodes), tokens + bounds.retryBudgetRatio() * USED_RATIO);
+    void requestReceived(int nodes) {
+        tokens = Math.min(maxTokens(nodes), tokens + bounds.retryBudgetRatio() * RATIO_USED_FRACTION);
     }
 
-    private double most(int nodes) {
-        return Math.max(LEAST_MOST, bounds.retrySlack() * USED_SLACK / Math.max(1, nodes));
+    private double maxTokens(int nodes) {
+        return Math.max(MIN_MAX_TOKENS, bounds.retrySlack() * SLACK_USED_FRACTION / Math.max(1, nodes));
     }
 
     /** Takes one repeat, if there is one left. */
-    boolean take() {
+    boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/routerfleet/data/RoutingTable.java
+++ b/src/main/java/routerfleet/data/RoutingTable.java
@@ -21,29 +21,29 @@
     /** What a node has before it has heard of any configuration. */
     static final RoutingTable EMPTY = new RoutingTable(new FleetConfiguration(0, null, null, null, null), null);
 
-    private static final int MOST_SEGMENTS = 32;
+    private static final int MAX_SEGMENTS = 32;
 
     /** A route, and where the running sums of its services' weights stand. */
     static final class Route {
         private final RouteConfig config;
         private final List<String> backends = new ArrayList<>();
-        private final List<Double> upTo = new ArrayList<>();
+        private final List<Double> cumulativeWeights = new ArrayList<>();
 
         Route(RouteConfig config) {
             this.config = config;
             double sum = 0;
             if (config.trafficSplit() != null) {
-                for (RouteConfig.WeightedBackend part : config.trafficSplit()) {
-                    if (part.weight() > 0) {
-                        sum += part.weight();
-                        backends.add(part.backend());
-                        upTo.add(sum);
+                for (RouteConfig.WeightedBackend weighted : config.trafficSplit()) {
+                    if (weighted.weight() > 0) {
+                        sum += weighted.weight();
+                        backends.add(weighted.backend());
+                        cumulativeWeights.add(sum);
                     }
                 }
             }
             if (backends.isEmpty()) {
                 backends.add(config.backend());
-                upTo.add(1.0);
+                cumulativeWeights.add(1.0);
             }
         }
 
@@ -51,11 +51,11 @@
             return config;
         }
 
-        /** @param lot from 0 to below 1 */
-        String backend(double lot) {
-            double point = lot * upTo.get(upTo.size() - 1);
+        /** @param random from 0 to below 1 */
+        String backend(double random) {
+            double point = random * cumulativeWeights.get(cumulativeWeights.size() - 1);
             for (int i = 0; i < backends.size(); i++) {
-                if (point < upTo.get(i)) {
+                if (point < cumulativeWeights.get(i)) {
                     return backends.get(i);
                 }
             }
@@ -64,37 +64,37 @@
     }
 
     private final long generation;
-    private final Map<String, Map<String, Route>> hosts = new HashMap<>();
-    private final Map<String, TenantConfig> keys = new HashMap<>();
+    private final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
+    private final Map<String, TenantConfig> tenantsByKey = new HashMap<>();
     private final Map<String, BackendConfig> backends = new HashMap<>();
     private final Set<String> routeNames = new HashSet<>();
     private final List<TenantConfig> tenants;
     private final ClientLimits limits;
 
-    /** @param before the table that this one takes the place of, whose unchanged routes are used again; null for none */
-    RoutingTable(FleetConfiguration configuration, RoutingTable before) {
+    /** @param previous the table that this one takes the place of, whose unchanged routes are used again; null for none */
+    RoutingTable(FleetConfiguration configuration, RoutingTable previous) {
         generation = configuration.generation();
         limits = configuration.limits();
         tenants = configuration.tenants();
         for (RouteConfig route : configuration.routes()) {
             routeNames.add(route.name());
             String host = route.host().toLowerCase(Locale.ROOT);
-            Route known = before == null ? null : before.at(host, route.pathPrefix());
-            hosts.computeIfAbsent(host, h -> new HashMap<>())
-                    .put(route.pathPrefix(), known != null && known.config == route ? known : new Route(route));
+            Route existing = previous == null ? null : previous.routeAt(host, route.pathPrefix());
+            routesByHost.computeIfAbsent(host, h -> new HashMap<>())
+                    .put(route.pathPrefix(), existing != null && existing.config == route ? existing : new Route(route));
         }
         for (BackendConfig backend : configuration.backends()) {
             backends.put(backend.name(), backend);
         }
         for (TenantConfig tenant : tenants) {
             if (tenant.apiKeys() != null) {
-                tenant.apiKeys().forEach(key -> keys.put(key, tenant));
+                tenant.apiKeys().forEach(key -> tenantsByKey.put(key, tenant));
             }
         }
     }
 
-    private Route at(String host, String pathPrefix) {
-        Map<String, Route> routes = hosts.get(host);
+    private Route routeAt(String host, String pathPrefix) {
+        Map<String, Route> routes = routesByHost.get(host);
         return routes == null ? null : routes.get(pathPrefix);
     }
 
@@ -125,8 +125,8 @@
     }
 
     /** The tenant that holds a key; null where none does. */
-    TenantConfig tenant(String key) {
-        return keys.get(key);
+    TenantConfig tenantForKey(String key) {
+        return tenantsByKey.get(key);
     }
 
     /** Whether requests need a key. */
@@ -135,15 +135,15 @@
     }
 
     /** The route of that host with the longest prefix of the path; null where there is none. */
-    Route route(String host, String target) {
-        Map<String, Route> routes = host == null ? null : hosts.get(hostName(host));
+    Route findRoute(String host, String target) {
+        Map<String, Route> routes = host == null ? null : routesByHost.get(hostName(host));
         if (routes == null) {
             return null;
         }
         int query = target.indexOf('?');
         String path = query < 0 ? target : target.substring(0, query);
         int end = path.length();
-        for (int i = 0; i < MOST_SEGMENTS; i++) {
+        for (int i = 0; i < MAX_SEGMENTS; i++) {
             int slash = path.lastIndexOf('/', end - 1);
             if (slash < 0) {
                 return null;
--- a/src/main/java/routerfleet/data/Server.java
+++ b/src/main/java/routerfleet/data/Server.java
@@ -8,31 +8,31 @@
 
 /** A model server as this node knows it: its session, connections, and what came of this node's own requests. */
 final class Server {
-    private static final long FIRST_PAUSE_MS = 400;
-    private static final long LONGEST_PAUSE_MS = 6_000;
+    private static final long INITIAL_BACKOFF_MS = 400;
+    private static final long MAX_BACKOFF_MS = 6_000;
     /** Weight of one answer in the failure rate: two failures in a row are no single case. */
-    private static final double FAILURE_GAIN = 0.25;
-    private static final double AVOID_ABOVE = 0.4;
+    private static final double FAILURE_RATE_WEIGHT = 0.25;
+    private static final double MAX_FAILURE_RATE = 0.4;
 
     /** An idle connection, since when it rests and until when it may be used, on the steady clock in milliseconds. */
-    record Idle(UpstreamConnection connection, long sinceMs, long usableUntilMs) { }
+    record IdleConnection(UpstreamConnection connection, long sinceMs, long usableUntilMs) { }
 
     private final String uid;
     private final String backend;
     private final HostPort address;
     private final String zone;
-    private final ZoneReach zoneReach;
-    private final Deque<Idle> idle = new ArrayDeque<>();
-    private final Warmth warmth = new Warmth();
-    private final ColdAdmission.Permission permission = new ColdAdmission.Permission();
+    private final ZoneReachability zoneReachability;
+    private final Deque<IdleConnection> idleConnections = new ArrayDeque<>();
+    private final WarmupState warmupState = new WarmupState();
+    private final ColdAdmission.Permit coldPermit = new ColdAdmission.Permit();
     private int capacity;
     private boolean listed;
-    private boolean keptForShort;
+    private boolean reservedForShort;
     private int connections;
     private int inFlight;
-    private long pauseMs = FIRST_PAUSE_MS;
+    private long backoffMs = INITIAL_BACKOFF_MS;
     private long avoidUntilMs;
-    private boolean trialOut;
+    private boolean probeInFlight;
     private double failureRate;
     /** When the oldest request that has had no sign of the server since was sent; 0 for none. */
     private long silentSinceMs;
@@ -40,12 +40,12 @@
     private long secondSilentSinceMs;
 
     Server(SessionRecord session) {
-        this(session, new ZoneReach());
+        this(session, new ZoneReachability());
     }
 
     /** @param zoneReach shared by the servers of its zone */
-    Server(SessionRecord session, ZoneReach zoneReach) {
-        this.zoneReach = zoneReach;
+    Server(SessionRecord session, ZoneReachability zoneReach) {
+        this.zoneReachability = zoneReach;
         uid = session.uid();
         backend = session.backend();
         address = HostPort.parse(session.address());
@@ -71,13 +71,13 @@
     }
 
     /** Until when it counts as cold. */
-    Warmth warmth() {
-        return warmth;
+    WarmupState warmupState() {
+        return warmupState;
     }
 
     /** This node's permission for it while it is cold. */
-    ColdAdmission.Permission permission() {
-        return permission;
+    ColdAdmission.Permit coldPermit() {
+        return coldPermit;
     }
 
     int capacity() {
@@ -98,12 +98,12 @@
     }
 
     /** Whether it is kept for short prompts, where nodes keep them apart. */
-    boolean isKeptForShort() {
-        return keptForShort;
+    boolean isReservedForShort() {
+        return reservedForShort;
     }
 
-    void keptForShort(boolean isKept) {
-        keptForShort = isKept;
+    void reservedForShort(boolean reserved) {
+        reservedForShort = reserved;
     }
 
     int inFlight() {
@@ -120,25 +120,25 @@
 
     void connectionClosed(UpstreamConnection connection) {
         connections--;
-        idle.removeIf(i -> i.connection() == connection);
+        idleConnections.removeIf(i -> i.connection() == connection);
     }
 
-    void sent(long nowMs) {
+    void requestSent(long nowMs) {
         inFlight++;
-        zoneReach.sent(nowMs);
+        zoneReachability.requestSent(nowMs);
         if (silentSinceMs == 0) {
             silentSinceMs = nowMs;
         } else if (secondSilentSinceMs == 0) {
             secondSilentSinceMs = nowMs;
         }
         if (isAvoided(nowMs) || avoidUntilMs != 0) {
-            trialOut = true;
+            probeInFlight = true;
         }
     }
 
-    void ended() {
+    void requestEnded() {
         inFlight--;
-        trialOut = false;
+        probeInFlight = false;
         if (inFlight == 0) {
             silentSinceMs = 0;
         }
@@ -149,17 +149,17 @@
 
     /** It has taken a connection. */
     void connected(long nowMs) {
-        zoneReach.reached(nowMs);
+        zoneReachability.reached(nowMs);
     }
 
     /** It has not answered a connect. @param sinceMs when that began, on the steady clock */
-    void connectTimedOut(long sinceMs, long nowMs) {
-        zoneReach.timedOut(sinceMs, nowMs);
+    void connectTimedOut(long connectStartMs, long nowMs) {
+        zoneReachability.connectTimedOut(connectStartMs, nowMs);
     }
 
     /** Bytes have come from it. */
-    void heard(long nowMs) {
-        zoneReach.reached(nowMs);
+    void bytesReceived(long nowMs) {
+        zoneReachability.reached(nowMs);
         silentSinceMs = inFlight > 0 ? nowMs : 0;
         secondSilentSinceMs = inFlight > 1 ? nowMs : 0;
     }
@@ -170,51 +170,51 @@
     }
 
     /** For how long it has been silent while it owed something to two requests or more, in milliseconds. */
-    long silentToTwoMs(long nowMs) {
+    long silentWithTwoRequestsMs(long nowMs) {
         return secondSilentSinceMs == 0 ? 0 : nowMs - secondSilentSinceMs;
     }
 
     /** It answered as it should. */
-    void succeeded() {
-        failureRate -= FAILURE_GAIN * failureRate;
-        pauseMs = FIRST_PAUSE_MS;
+    void recordSuccess() {
+        failureRate -= FAILURE_RATE_WEIGHT * failureRate;
+        backoffMs = INITIAL_BACKOFF_MS;
         avoidUntilMs = 0;
     }
 
     /** It gave no answer, or a failure: left alone only where that is no single case. */
-    void erred(long nowMs) {
-        failureRate += FAILURE_GAIN * (1 - failureRate);
-        if (failureRate > AVOID_ABOVE) {
-            failed(nowMs);
+    void recordError(long nowMs) {
+        failureRate += FAILURE_RATE_WEIGHT * (1 - failureRate);
+        if (failureRate > MAX_FAILURE_RATE) {
+            backOff(nowMs);
         }
     }
 
     /** It failed, or could not be reached: it is left alone for a while, longer each time. */
-    void failed(long nowMs) {
+    void backOff(long nowMs) {
         if (nowMs >= avoidUntilMs) {
-            avoidUntilMs = nowMs + pauseMs;
-            pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+            avoidUntilMs = nowMs + backoffMs;
+            backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
         }
     }
 
     /** Whether it is left alone now; after the pause, one request at a time tries it. */
     boolean isAvoided(long nowMs) {
-        return nowMs < avoidUntilMs || avoidUntilMs != 0 && trialOut || zoneReach.isAvoided(nowMs);
+        return nowMs < avoidUntilMs || avoidUntilMs != 0 && probeInFlight || zoneReachability.isAvoided(nowMs);
     }
 
     /**
      * Takes an idle connection that may be used, the one used last; null where there is none.
      *
-     * @param longestRestMs for how long it may have rested
+     * @param maxIdleMs for how long it may have rested
      */
-    Idle takeIdle(long nowMs, long longestRestMs) {
-        if (zoneReach.isLost()) {
-            closeIdle();
+    IdleConnection takeIdleConnection(long nowMs, long maxIdleMs) {
+        if (zoneReachability.isUnreachable()) {
+            closeIdleConnections();
         }
-        for (Idle found = idle.pollLast(); found != null; found = idle.pollLast()) {
+        for (IdleConnection found = idleConnections.pollLast(); found != null; found = idleConnections.pollLast()) {
             Channel channel = found.connection().channel();
-            boolean rested = nowMs - found.sinceMs() > longestRestMs;
-            if (channel.isActive() && nowMs < found.usableUntilMs() && !rested) {
+            boolean idleTooLong = nowMs - found.sinceMs() > maxIdleMs;
+            if (channel.isActive() && nowMs < found.usableUntilMs() && !idleTooLong) {
                 return found;
             }
             channel.close();
@@ -222,12 +222,12 @@
         return null;
     }
 
-    void putIdle(UpstreamConnection connection, long nowMs, long usableUntilMs) {
-        idle.addLast(new Idle(connection, nowMs, usableUntilMs));
+    void addIdleConnection(UpstreamConnection connection, long nowMs, long usableUntilMs) {
+        idleConnections.addLast(new IdleConnection(connection, nowMs, usableUntilMs));
     }
 
-    void closeIdle() {
-        for (Idle found = idle.pollLast(); found != null; found = idle.pollLast()) {
+    void closeIdleConnections() {
+        for (IdleConnection found = idleConnections.pollLast(); found != null; found = idleConnections.pollLast()) {
             found.connection().channel().close();
         }
     }
--- a/src/main/java/routerfleet/data/ServerGroups.java
+++ b/src/main/java/routerfleet/data/ServerGroups.java
@@ -14,14 +14,14 @@
  * zone with fewer than four servers keeps none apart.
  */
 final class ServerGroups {
-    private static final int SHORT_PART = 4;
-    private static final long SEED = 7_919;
+    private static final int SHORT_GROUP_DIVISOR = 4;
+    private static final long RANK_MULTIPLIER = 7_919;
 
     /** Servers to draw from: those in the node's own zone, and all. */
-    record Candidates(List<Server> near, List<Server> all) {
+    record Candidates(List<Server> local, List<Server> all) {
         static Candidates of(List<Server> servers, String zone) {
-            List<Server> near = servers.stream().filter(server -> server.zone().equals(zone)).toList();
-            return new Candidates(near.isEmpty() ? servers : near, servers);
+            List<Server> local = servers.stream().filter(server -> server.zone().equals(zone)).toList();
+            return new Candidates(local.isEmpty() ? servers : local, servers);
         }
     }
 
@@ -33,21 +33,21 @@
 
     /** @param zone the node's own */
     ServerGroups(List<Server> servers, String zone) {
-        List<Server> longOnes = new ArrayList<>();
-        List<Server> shortOnes = new ArrayList<>();
+        List<Server> longGroup = new ArrayList<>();
+        List<Server> shortGroup = new ArrayList<>();
         for (List<Server> inZone : byZone(servers).values()) {
             inZone.sort(Comparator.comparingLong(ServerGroups::rank).thenComparing(Server::uid));
-            int apart = inZone.size() / SHORT_PART;
-            shortOnes.addAll(inZone.subList(0, apart));
-            longOnes.addAll(inZone.subList(apart, inZone.size()));
+            int shortCount = inZone.size() / SHORT_GROUP_DIVISOR;
+            shortGroup.addAll(inZone.subList(0, shortCount));
+            longGroup.addAll(inZone.subList(shortCount, inZone.size()));
         }
-        shortOnes.forEach(server -> server.keptForShort(true));
-        longOnes.forEach(server -> server.keptForShort(false));
+        shortGroup.forEach(server -> server.reservedForShort(true));
+        longGroup.forEach(server -> server.reservedForShort(false));
         all = Candidates.of(List.copyOf(servers), zone);
-        forLong = Candidates.of(longOnes, zone);
-        forShort = Candidates.of(shortOnes, zone);
+        forLong = Candidates.of(longGroup, zone);
+        forShort = Candidates.of(shortGroup, zone);
         ringOfAll = new PrefixRing(servers);
-        ringOfLong = shortOnes.isEmpty() ? ringOfAll : new PrefixRing(longOnes);
+        ringOfLong = shortGroup.isEmpty() ? ringOfAll : new PrefixRing(longGroup);
     }
 
     private static Map<String, List<Server>> byZone(List<Server> servers) {
@@ -57,7 +57,7 @@
     }
 
     private static long rank(Server server) {
-        return HashMix.mix(server.uid().hashCode() * SEED);
+        return HashMix.mix(server.uid().hashCode() * RANK_MULTIPLIER);
     }
 
     /** Whether there are servers to keep for short prompts. */
--- a/src/main/java/routerfleet/data/ServerPool.java
+++ b/src/main/java/routerfleet/data/ServerPool.java
@@ -20,22 +20,22 @@
  *
  * <p>Cold servers take part only where the node has a permission for them now ({@link ColdAdmission}).
  *
- * <p>Cost of a choice: two draws, or a binary search on the ring. Bound: {@value #MOST_CLASSES} networks; further
+ * <p>Cost of a choice: two draws, or a binary search on the ring. Bound: {@value #MAX_CLASSES} networks; further
  * classes share the last one.
  */
 final class ServerPool {
-    private static final int MOST_CLASSES = 32;
+    private static final int MAX_CLASSES = 32;
     /** The network of classes beyond that. */
-    private static final String SHARED = "";
-    private static final int DRAWS = 6;
+    private static final String SHARED_CLASS = "";
+    private static final int MAX_DRAWS = 6;
     /** How much worse the home of a shared part may look than the other server drawn: reading it anew costs more. */
-    private static final double WARM = 0.3;
+    private static final double CACHE_PREFERENCE = 0.3;
     /** How much worse a server in the node's own zone may look than one elsewhere: bytes between zones are paid for. */
-    private static final double NEAR = 1.5;
+    private static final double LOCAL_ZONE_PREFERENCE = 1.5;
     /** How much worse a cold server may look that the node has a permission for: a warm one can be had at any time. */
-    private static final double COLD = 1.5;
+    private static final double COLD_SERVER_PREFERENCE = 1.5;
     /** Requests that both count for beside those in flight, so that a few of them do not send a part elsewhere. */
-    private static final double WARM_DEPTH = 4;
+    private static final double CACHE_SCORE_OFFSET = 4;
 
     /** The network of one class. */
     private static final class ClassNetwork {
@@ -44,14 +44,14 @@
     }
 
     private final SplittableRandom random;
-    private final IdleReuseLimit restLimit = new IdleReuseLimit();
+    private final IdleReuseLimit idleReuseLimit = new IdleReuseLimit();
     private final ColdAdmission coldAdmission;
     private final List<Server> servers = new ArrayList<>();
     private final Map<String, ClassNetwork> classes = new HashMap<>();
     private final PromptSeparation separation = new PromptSeparation();
     private final String zone;
     private ServerGroups groups;
-    private boolean changed;
+    private boolean membershipChanged;
 
     /** @param zone the node's own */
     ServerPool(long seed, String zone) {
@@ -62,8 +62,8 @@
     }
 
     /** For how long connections to its servers may rest. */
-    IdleReuseLimit restLimit() {
-        return restLimit;
+    IdleReuseLimit idleReuseLimit() {
+        return idleReuseLimit;
     }
 
     /** Which requests may go to its cold servers. */
@@ -79,25 +79,25 @@
         return servers;
     }
 
-    /** {@link #settle} is to follow, once for all servers that come and go at one time. */
+    /** {@link #applyMembership} is to follow, once for all servers that come and go at one time. */
     void add(Server server) {
         servers.add(server);
         classes.values().forEach(network -> network.neurons.put(server, network.network.enter()));
-        changed = true;
+        membershipChanged = true;
     }
 
-    /** {@link #settle} is to follow. */
+    /** {@link #applyMembership} is to follow. */
     void remove(Server server) {
         if (servers.remove(server)) {
             classes.values().forEach(network -> network.network.leave(network.neurons.remove(server)));
-            changed = true;
+            membershipChanged = true;
         }
     }
 
     /** Takes servers that came or went into the choice. Costs O(n log n) for n servers where any did, else nothing. */
-    void settle() {
-        if (changed) {
-            changed = false;
+    void applyMembership() {
+        if (membershipChanged) {
+            membershipChanged = false;
             classes.values().forEach(network -> network.network.settle());
             groups = new ServerGroups(servers, zone);
         }
@@ -105,7 +105,7 @@
 
     /** Forgets the networks of classes that are no more, so that new ones find room. */
     void retainClasses(Set<String> names) {
-        classes.keySet().removeIf(name -> !name.equals(SHARED) && !names.contains(name));
+        classes.keySet().removeIf(name -> !name.equals(SHARED_CLASS) && !names.contains(name));
     }
 
     private ClassNetwork network(String requestClass) {
@@ -113,8 +113,8 @@
         if (found != null) {
             return found;
         }
-        if (classes.size() >= MOST_CLASSES) {
-            return classes.computeIfAbsent(SHARED, this::newNetwork);
+        if (classes.size() >= MAX_CLASSES) {
+            return classes.computeIfAbsent(SHARED_CLASS, this::newNetwork);
         }
         return classes.computeIfAbsent(requestClass, this::newNetwork);
     }
@@ -127,14 +127,14 @@
     }
 
     /** One answer of a server, or how long a failure counts as, in milliseconds. */
-    void learn(PromptProfile profile, Server server, double latencyMs, boolean ok) {
+    void recordOutcome(PromptProfile profile, Server server, double latencyMs, boolean success) {
         if (!profile.isLong() && groups.canSeparate()) {
-            separation.answered(server.isKeptForShort(), latencyMs, profile.targetLatencyMs());
+            separation.recordLatency(server.isReservedForShort(), latencyMs, profile.targetLatencyMs());
         }
         ClassNetwork network = network(profile.requestClass());
         Neuron neuron = network.neurons.get(server);
         if (neuron != null) {
-            network.network.learn(neuron, latencyMs, ok);
+            network.network.learn(neuron, latencyMs, success);
         }
     }
 
@@ -149,83 +149,83 @@
         if (servers.isEmpty()) {
             return null;
         }
-        separation.came(profile.isLong());
+        separation.requestArrived(profile.isLong());
         ClassNetwork network = network(profile.requestClass());
-        Server chosen = profile.prefix().isShared() ? fromRing(network, profile.prefix(), limit, tried, nowMs)
-                : orCold(network, ofTwo(network, candidates(profile), limit, tried, nowMs), limit, tried, nowMs);
-        return chosen != null ? chosen : any(network, limit, tried, nowMs);
+        Server chosen = profile.prefix().isShared() ? chooseFromRing(network, profile.prefix(), limit, tried, nowMs)
+                : preferPermittedCold(network, chooseOfTwo(network, candidates(profile), limit, tried, nowMs), limit, tried, nowMs);
+        return chosen != null ? chosen : chooseAny(network, limit, tried, nowMs);
     }
 
-    private boolean separates() {
-        return groups.canSeparate() && separation.isWanted();
+    private boolean separatesPrompts() {
+        return groups.canSeparate() && separation.isActive();
     }
 
     private ServerGroups.Candidates candidates(PromptProfile profile) {
-        if (!separates()) {
+        if (!separatesPrompts()) {
             return groups.all();
         }
-        boolean toShortGroup = !profile.isLong() && random.nextDouble() < separation.toShortGroup();
+        boolean toShortGroup = !profile.isLong() && random.nextDouble() < separation.shortGroupProbability();
         return toShortGroup ? groups.forShort() : groups.forLong();
     }
 
     /** Draws one server near and one anywhere; the near one may look a little worse, as it saves a crossing of zones. */
-    private Server ofTwo(ClassNetwork network, ServerGroups.Candidates candidates, int limit, List<Server> tried,
+    private Server chooseOfTwo(ClassNetwork network, ServerGroups.Candidates candidates, int limit, List<Server> tried,
             long nowMs) {
-        Server near = draw(candidates.near(), null, limit, tried, nowMs);
-        Server other = draw(candidates.all(), near, limit, tried, nowMs);
-        if (near == null || other == null) {
-            return near == null ? other : near;
+        Server local = draw(candidates.local(), null, limit, tried, nowMs);
+        Server other = draw(candidates.all(), local, limit, tried, nowMs);
+        if (local == null || other == null) {
+            return local == null ? other : local;
         }
-        boolean saves = near.zone().equals(zone) && !other.zone().equals(zone);
-        return score(network, near) <= score(network, other) * (saves ? NEAR : 1) ? near : other;
+        boolean avoidsZoneCrossing = local.zone().equals(zone) && !other.zone().equals(zone);
+        return score(network, local) <= score(network, other) * (avoidsZoneCrossing ? LOCAL_ZONE_PREFERENCE : 1) ? local : other;
     }
 
     /** A permission for a cold server lasts one slice, and draws among all would seldom find it: it is looked for. */
-    private Server orCold(ClassNetwork network, Server warm, int limit, List<Server> tried, long nowMs) {
-        for (Server cold : coldAdmission.open(servers, nowMs)) {
-            boolean may = mayTake(cold, limit, tried, nowMs);
-            if (may && (warm == null || score(network, cold) <= score(network, warm) * COLD)) {
+    private Server preferPermittedCold(ClassNetwork network, Server warm, int limit, List<Server> tried, long nowMs) {
+        for (Server cold : coldAdmission.serversWithPermit(servers, nowMs)) {
+            boolean eligible = isEligible(cold, limit, tried, nowMs);
+            if (eligible && (warm == null || score(network, cold) <= score(network, warm) * COLD_SERVER_PREFERENCE)) {
                 return cold;
             }
         }
         return warm;
     }
 
-    private Server fromRing(ClassNetwork network, PromptPrefix prefix, int limit, List<Server> tried, long nowMs) {
-        PrefixRing ring = groups.ring(separates());
-        int start = ring.start(prefix.key());
+    private Server chooseFromRing(ClassNetwork network, PromptPrefix prefix, int limit, List<Server> tried, long nowMs) {
+        PrefixRing ring = groups.ring(separatesPrompts());
+        int start = ring.firstIndex(prefix.hash());
         Server home = null;
-        for (int i = 0; i < ring.length(); i++) {
-            Server next = ring.at(start + i);
-            if (next == home || !mayTake(next, limit, tried, nowMs)) {
+        for (int i = 0; i < ring.size(); i++) {
+            Server next = ring.server(start + i);
+            if (next == home || !isEligible(next, limit, tried, nowMs)) {
                 continue;
             }
             if (home == null) {
                 home = next;
             } else {
-                return warmScore(network, home) * WARM <= warmScore(network, next) ? home : next;
+                return cacheAwareScore(network, home) * CACHE_PREFERENCE <= cacheAwareScore(network, next) ? home : next;
             }
         }
         return home;
     }
 
     private Server draw(List<Server> from, Server other, int limit, List<Server> tried, long nowMs) {
-        for (int i = 0; i < DRAWS && !from.isEmpty(); i++) {
+        for (int i = 0; i < MAX_DRAWS && !from.isEmpty(); i++) {
             Server drawn = from.get(random.nextInt(from.size()));
-            if (drawn != other && mayTake(drawn, limit, tried, nowMs)) {
+            if (drawn != other && isEligible(drawn, limit, tried, nowMs)) {
                 return drawn;
             }
         }
         return null;
     }
 
-    private boolean mayTake(Server server, int limit, List<Server> tried, long nowMs) {
+    private boolean isEligible(Server server, int limit, List<Server> tried, long nowMs) {
         return server.listed() && server.inFlight() < limit && !server.isAvoided(nowMs) && !tried.contains(server)
                 && coldAdmission.permits(server, nowMs);
     }
 
     /** Where all draws failed: whichever has room, one that is left alone only if there is no other. */
-    private Server any(ClassNetwork network, int limit, List<Server> tried, long nowMs) {
+    private Server chooseAny(ClassNetwork network, int limit, List<Server> tried, long nowMs) {
         Server best = null;
         for (Server server : servers) {
             if (server.inFlight() < limit && !tried.contains(server) && coldAdmission.permits(server, nowMs)) {
@@ -243,8 +243,8 @@
     }
 
     /** Of a server that may have read a part already: one answer moves q too far to send the part elsewhere. */
-    private static double warmScore(ClassNetwork network, Server server) {
-        return (server.inFlight() + WARM_DEPTH) / Math.sqrt(network.neurons.get(server).quality());
+    private static double cacheAwareScore(ClassNetwork network, Server server) {
+        return (server.inFlight() + CACHE_SCORE_OFFSET) / Math.sqrt(network.neurons.get(server).quality());
     }
 
     private static double score(ClassNetwork network, Server server) {
--- a/src/main/java/routerfleet/data/UpstreamConnection.java
+++ b/src/main/java/routerfleet/data/UpstreamConnection.java
@@ -41,7 +41,7 @@
         void head(HttpResponse response);
 
         /** A piece of the body; valid during the call. */
-        void content(ByteBuf piece);
+        void content(ByteBuf chunk);
 
         /** The answer is whole. */
         void complete();
@@ -116,7 +116,7 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            server.heard(SteadyClock.millis());
+            server.bytesReceived(SteadyClock.millis());
             if (receiver == null) {
                 context.close(); // bytes that belong to no request
                 return;
@@ -201,7 +201,7 @@
     /** No request needs it now: it waits for the next one. */
     void release(long nowMs) {
         if (server.listed()) {
-            server.putIdle(this, nowMs, nowMs + idleTimeoutMs);
+            server.addIdleConnection(this, nowMs, nowMs + idleTimeoutMs);
         } else {
             channel.close();
         }
--- a/src/test/java/routerfleet/control/ControlPlaneSimulation.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulation.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
-import routerfleet.data.ControlClientNode;
+import routerfleet.data.ControlClientProbe;
 import routerfleet.settings.Bounds;
 import routerfleet.settings.HostPort;
 import routerfleet.settings.LocalSettings;
@@ -56,7 +56,7 @@
     private final class DataNode {
         private final String ip;
         private VirtualProcess process;
-        private ControlClientNode client;
+        private ControlClientProbe client;
         private long startedMs;
         private long newestAtStart;
 
@@ -72,7 +72,7 @@
                     SimulatedMachine.INTERNAL_PORT, seeds(), true, null, SimulatedMachine.HEARTBEAT_MS, tolerated, 0,
                     Set.of(), Bounds.defaults());
             VirtualProcess life = process;
-            life.execute(() -> client = new ControlClientNode(settings, life, network.of(ip, life), surroundings.codec()));
+            life.execute(() -> client = new ControlClientProbe(settings, life, network.of(ip, life), surroundings.codec()));
         }
 
         void kill() {
@@ -245,7 +245,7 @@
         long now = world.nowMs();
         boolean inTouch = now - wellSinceMs >= CALM_MS && now - node.startedMs >= CALM_MS;
         for (SimulatedClients.Ending ending : clients.endings()) {
-            if (inTouch && now - ending.acknowledgedMs() > DRAIN_MS && node.client.lists(ending.uid())
+            if (inTouch && now - ending.acknowledgedMs() > DRAIN_MS && node.client.isListed(ending.uid())
                     && reported.add(ending.uid())) {
                 seen.violations.add(node.ip + " still uses " + ending.uid() + ", whose end was acknowledged "
                         + (now - ending.acknowledgedMs()) + " ms ago");
--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import routerfleet.data.ControlClientNode;
+import routerfleet.data.ControlClientProbe;
 import routerfleet.demo.Configurations;
 import routerfleet.settings.Bounds;
 import routerfleet.settings.HostPort;
@@ -56,7 +56,7 @@
     private final class Node {
         private final String ip;
         private VirtualProcess process;
-        private ControlClientNode client;
+        private ControlClientProbe client;
         private long startedMs;
 
         Node(String ip) {
@@ -70,7 +70,7 @@
             LocalSettings settings = new LocalSettings("data-" + ip, ip, "c", null, null, null,
                     SimulatedMachine.INTERNAL_PORT, seeds(), true, null, SimulatedMachine.HEARTBEAT_MS,
                     CONTROL_NODES / 2, 0, ZONES, Bounds.defaults());
-            life.execute(() -> client = new ControlClientNode(settings, life, network.of(ip, life), CODEC));
+            life.execute(() -> client = new ControlClientProbe(settings, life, network.of(ip, life), CODEC));
         }
 
         void restart(long afterMs) {
@@ -254,7 +254,7 @@
         long settledMs = order.acknowledgedNanos() / MS;
         boolean calm = now - Math.max(wellSinceMs, node.startedMs) > CALM_MS && now - settledMs > IN_FORCE_MS;
         boolean startedSince = node.startedMs > settledMs && node.client.mayServe();
-        boolean used = node.client.lists("s-" + zone);
+        boolean used = node.client.isListed("s-" + zone);
         if (order.start() && used && (calm || startedSince)) {
             found(node.ip + " uses the server in " + zone + " " + (now - settledMs) + " ms after its evacuation, at "
                     + now);
--- a/src/test/java/routerfleet/control/PowerReturnTest.java
+++ b/src/test/java/routerfleet/control/PowerReturnTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import routerfleet.demo.Configurations;
-import routerfleet.data.ControlClientNode;
+import routerfleet.data.ControlClientProbe;
 import routerfleet.settings.Bounds;
 import routerfleet.settings.HostPort;
 import routerfleet.settings.LocalSettings;
@@ -44,7 +44,7 @@
         private final SplittableRandom random;
         private final SimulatedNetwork network;
         private final List<SimulatedMachine> machines = new ArrayList<>();
-        private final List<ControlClientNode> nodes = new ArrayList<>();
+        private final List<ControlClientProbe> nodes = new ArrayList<>();
         private final List<VirtualProcess> processes = new ArrayList<>();
         private boolean heartbeats = true;
         private int sequence;
@@ -82,7 +82,7 @@
                     SimulatedMachine.INTERNAL_PORT, seeds(), true, null, SimulatedMachine.HEARTBEAT_MS,
                     CONTROL_NODES / 2, 0, Set.of(), Bounds.defaults());
             processes.add(process);
-            process.execute(() -> nodes.add(new ControlClientNode(settings, process, network.of(ip, process), codec)));
+            process.execute(() -> nodes.add(new ControlClientProbe(settings, process, network.of(ip, process), codec)));
         }
 
         private void call(String path, String body, String base) {
@@ -106,7 +106,7 @@
 
         private boolean serves() {
             return nodes.size() == DATA_NODES && nodes.stream().allMatch(n -> n.mayServe()
-                    && n.lists("s" + firstServer) && n.lists("s" + SERVERS));
+                    && n.isListed("s" + firstServer) && n.isListed("s" + SERVERS));
         }
 
         /** Plays a fleet up to its loss of power, and starts all processes again; no heartbeats come from the loss on. */
@@ -162,8 +162,8 @@
             play.firstServer = 1;
             play.heartbeats = true;
             play.world.runUntilMs(BACK_MS + START_MS + MOST_MS);
-            assertThat("seed " + seed, play.nodes.stream().anyMatch(n -> n.lists("s1")), is(false));
-            assertThat("seed " + seed, play.nodes.stream().allMatch(n -> n.lists("s2")), is(true));
+            assertThat("seed " + seed, play.nodes.stream().anyMatch(n -> n.isListed("s1")), is(false));
+            assertThat("seed " + seed, play.nodes.stream().allMatch(n -> n.isListed("s2")), is(true));
         }
     }
 
@@ -183,7 +183,7 @@
         play.firstServer = 1;
         play.heartbeats = true;
         play.world.runUntilMs(BACK_MS + START_MS + MOST_MS);
-        return play.nodes.stream().anyMatch(n -> n.lists("s1"));
+        return play.nodes.stream().anyMatch(n -> n.isListed("s1"));
     }
 
     /** Guards an end that was acknowledged at the last moment; an end that is told before it is on disk is found. */
--- a/src/test/java/routerfleet/data/ControlClientNode.java
+++ b/src/test/java/routerfleet/data/ControlClientProbe.java
@@ -8,19 +8,19 @@
 import routerfleet.wire.Scheduler;
 
 /** What a data node knows from the control nodes, without clients and servers: for simulations of the control plane. */
-public final class ControlClientNode {
-    private static final long SECOND_MS = 1_000;
+public final class ControlClientProbe {
+    private static final long CLEANUP_INTERVAL_MS = 1_000;
 
     private final ServerRegistry registry;
     private final ControlClient client;
     private long generation;
 
     /** Begins; to be called on the scheduler's thread. */
-    public ControlClientNode(LocalSettings settings, Scheduler scheduler, PeerNetwork network, PeerCodec codec) {
+    public ControlClientProbe(LocalSettings settings, Scheduler scheduler, PeerNetwork network, PeerCodec codec) {
         registry = new ServerRegistry(1, scheduler::nanoTime, settings.zone());
-        client = new ControlClient(scheduler, network, settings, registry, codec, new Configurations());
+        client = new ControlClient(scheduler, network, settings, registry, codec, new ConfigurationListener());
         client.start();
-        scheduler.every(SECOND_MS, registry::tick);
+        scheduler.every(CLEANUP_INTERVAL_MS, registry::removeStale);
     }
 
     /** The newest configuration's number; 0 for none. */
@@ -39,7 +39,7 @@
     }
 
     /** Whether this node would send requests to a server. */
-    public boolean lists(String uid) {
+    public boolean isListed(String uid) {
         for (Server server : registry.servers()) {
             if (server.uid().equals(uid)) {
                 return server.listed();
@@ -48,7 +48,7 @@
         return false;
     }
 
-    private final class Configurations implements ControlClient.Listener {
+    private final class ConfigurationListener implements ControlClient.Listener {
         @Override
         public void configuration(FleetConfiguration configuration) {
             generation = configuration.generation();
--- a/src/test/java/routerfleet/data/EmulatedEngine.java
+++ b/src/test/java/routerfleet/data/EmulatedEngine.java
@@ -15,28 +15,28 @@
  */
 final class EmulatedEngine {
     /** What an engine can do. Times in milliseconds. */
-    record Capability(int slots, int queue, double stepMs, double stepMsPerRequest, double tokensPerMs, int pieceTokens,
-            double memoryTokens, double firstMs, int tokensPerEvent) {
+    record Capability(int slots, int queue, double stepMs, double stepMsPerRequest, double tokensPerMs, int prefillChunkTokens,
+            double memoryTokens, double responseDelayMs, int tokensPerEvent) {
         static final Capability SMALL_BATCH = new Capability(16, 48, 2.6, 0.12, 48.2, 2_048, 390_928, 14, 10);
     }
 
     /** A request at an engine, and what comes of it. */
     static final class Job {
-        final long part;
+        final long prefix;
         final double sharedTokens;
-        final int tokensOut;
+        final int outputTokens;
         private final double ownTokens;
-        private double toRead;
-        private int made;
-        private boolean partWasKept;
-        private final Receiver receiver;
-
-        /** @param part the shared beginning; 0 for none */
-        Job(long part, double sharedTokens, double ownTokens, int tokensOut, Receiver receiver) {
-            this.part = part;
+        private double unreadTokens;
+        private int generatedTokens;
+        private boolean prefixWasCached;
+        private final JobListener receiver;
+
+        /** @param prefix the shared beginning; 0 for none */
+        Job(long prefix, double sharedTokens, double ownTokens, int outputTokens, JobListener receiver) {
+            this.prefix = prefix;
             this.sharedTokens = sharedTokens;
             this.ownTokens = ownTokens;
-            this.tokensOut = tokensOut;
+            this.outputTokens = outputTokens;
             this.receiver = receiver;
         }
 
@@ -46,7 +46,7 @@
     }
 
     /** Hears of a request. */
-    interface Receiver {
+    interface JobListener {
         void firstEvent();
 
         void finished();
@@ -64,8 +64,8 @@
     private final Clock clock;
     private final Deque<Job> queue = new ArrayDeque<>();
     private final List<Job> running = new ArrayList<>();
-    private final LinkedHashMap<Long, Double> kept = new LinkedHashMap<>(16, 0.75f, true);
-    private double keptTokens;
+    private final LinkedHashMap<Long, Double> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private double cachedTokens;
     private boolean stepping;
     private int arrivals;
     private double tokensRead;
@@ -96,7 +96,7 @@
         return tokensRead;
     }
 
-    void take(Job job) {
+    void submit(Job job) {
         arrivals++;
         if (failing || running.size() + queue.size() >= capability.slots() + capability.queue()) {
             clock.after(1, job.receiver::failed);
@@ -115,10 +115,10 @@
             stepping = false;
             return;
         }
-        double read = readPiece();
+        double read = prefillChunk();
         double ms = capability.stepMs() + capability.stepMsPerRequest() * running.size() + read / capability.tokensPerMs();
         clock.after(ms * slowness, () -> {
-            List.copyOf(running).forEach(this::token);
+            List.copyOf(running).forEach(this::generateToken);
             step();
         });
     }
@@ -130,47 +130,47 @@
                 return;
             }
             Job job = queue.poll();
-            job.partWasKept = job.part != 0 && kept.get(job.part) != null;
-            job.toRead = job.ownTokens + (job.partWasKept ? 0 : job.sharedTokens);
-            tokensRead += job.toRead;
+            job.prefixWasCached = job.prefix != 0 && prefixCache.get(job.prefix) != null;
+            job.unreadTokens = job.ownTokens + (job.prefixWasCached ? 0 : job.sharedTokens);
+            tokensRead += job.unreadTokens;
             held += job.size();
             running.add(job);
         }
     }
 
-    private double readPiece() {
-        double left = capability.pieceTokens();
+    private double prefillChunk() {
+        double left = capability.prefillChunkTokens();
         for (Job job : running) {
-            double read = Math.min(left, job.toRead);
-            job.toRead -= read;
+            double read = Math.min(left, job.unreadTokens);
+            job.unreadTokens -= read;
             left -= read;
         }
-        return capability.pieceTokens() - left;
+        return capability.prefillChunkTokens() - left;
     }
 
-    private void token(Job job) {
-        if (job.toRead > 0) {
+    private void generateToken(Job job) {
+        if (job.unreadTokens > 0) {
             return;
         }
-        if (job.made == 0 && job.part != 0 && !job.partWasKept) {
-            keep(job);
+        if (job.generatedTokens == 0 && job.prefix != 0 && !job.prefixWasCached) {
+            cachePrefix(job);
         }
-        job.made++;
-        if (job.made == Math.min(capability.tokensPerEvent(), job.tokensOut)) {
-            clock.after(capability.firstMs(), job.receiver::firstEvent);
+        job.generatedTokens++;
+        if (job.generatedTokens == Math.min(capability.tokensPerEvent(), job.outputTokens)) {
+            clock.after(capability.responseDelayMs(), job.receiver::firstEvent);
         }
-        if (job.made >= job.tokensOut) {
+        if (job.generatedTokens >= job.outputTokens) {
             running.remove(job);
-            clock.after(capability.firstMs(), job.receiver::finished);
+            clock.after(capability.responseDelayMs(), job.receiver::finished);
         }
     }
 
-    private void keep(Job job) {
-        kept.put(job.part, job.sharedTokens);
-        keptTokens += job.sharedTokens;
-        Iterator<Map.Entry<Long, Double>> oldest = kept.entrySet().iterator();
-        while (keptTokens > capability.memoryTokens() / 2 && oldest.hasNext()) {
-            keptTokens -= oldest.next().getValue();
+    private void cachePrefix(Job job) {
+        prefixCache.put(job.prefix, job.sharedTokens);
+        cachedTokens += job.sharedTokens;
+        Iterator<Map.Entry<Long, Double>> oldest = prefixCache.entrySet().iterator();
+        while (cachedTokens > capability.memoryTokens() / 2 && oldest.hasNext()) {
+            cachedTokens -= oldest.next().getValue();
             oldest.remove();
         }
     }
--- a/src/test/java/routerfleet/data/EventStreamParserTest.java
+++ b/src/test/java/routerfleet/data/EventStreamParserTest.java
@@ -15,7 +15,7 @@
             "id: 4\ndata: a\n\nid:5\r\ndata: b\r\n\r\nversions: 3\nid: 6\ndata: c\n\ndata: d\n\nid: 9";
 
     @Test
-    void findsTheSameEventsHoweverTheBytesAreCut() {
+    void findsTheSameEventsForAnyChunkSize() {
         byte[] bytes = TEXT.getBytes(StandardCharsets.US_ASCII);
         for (int size = 1; size <= bytes.length; size++) {
             EventStreamParser parser = new EventStreamParser();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anEventWithoutEndIsBounded() {
+    void rejectsAnEventThatIsTooLong() {
         EventStreamParser parser = new EventStreamParser();
         byte[] piece = new byte[600_000];
         assertThat(parser.feed(Unpooled.wrappedBuffer(piece), (event, id) -> { }), is(true));
--- a/src/test/java/routerfleet/data/FleetSizeTest.java
+++ b/src/test/java/routerfleet/data/FleetSizeTest.java
@@ -11,25 +11,25 @@
 
     /** Guards what all share: while a control node that has just started counts them one by one, it is not believed. */
     @Test
-    void aStartingControlNodeDoesNotCount() {
-        size.told(1, true, 1_000);
+    void countsOfAStartingControlNodeAreIgnored() {
+        size.countReported(1, true, 1_000);
         assertThat(size.divisor(), is(0));
-        size.told(66, false, 1_100);
-        size.told(2, true, 1_200);
+        size.countReported(66, false, 1_100);
+        size.countReported(2, true, 1_200);
         assertThat(size.divisor(), is(66));
         assertThat(size.latest(), is(66));
     }
 
     /** Guards the same where a control node is cut off from most data nodes: the others still use their parts. */
     @Test
-    void aSmallerCountHoldsOnlyAfterAWhile() {
-        size.told(66, false, 1_000);
-        size.told(22, false, 2_000);
+    void aSmallerCountAppliesOnlyAfterTheRetentionTime() {
+        size.countReported(66, false, 1_000);
+        size.countReported(22, false, 2_000);
         assertThat(size.latest(), is(22));
         assertThat(size.divisor(), is(66));
-        size.told(22, false, 2_001 + FleetSize.REMEMBERED_MS);
+        size.countReported(22, false, 2_001 + FleetSize.RETENTION_MS);
         assertThat(size.divisor(), is(66));
-        size.told(22, false, 2_003 + 2 * FleetSize.REMEMBERED_MS);
+        size.countReported(22, false, 2_003 + 2 * FleetSize.RETENTION_MS);
         assertThat(size.divisor(), is(22));
     }
 }
--- a/src/test/java/routerfleet/data/IdleReuseLimitTest.java
+++ b/src/test/java/routerfleet/data/IdleReuseLimitTest.java
@@ -10,12 +10,12 @@
     private final IdleReuseLimit limit = new IdleReuseLimit();
 
     @Test
-    void isNoneBeforeAConnectionWasLost() {
+    void isUnlimitedBeforeAConnectionIsLost() {
         assertThat(limit.maxIdleMs(0), is(Long.MAX_VALUE));
     }
 
     @Test
-    void isHalfOfTheShortestRestAfterWhichOneWasLost() {
+    void isHalfOfTheShortestIdleTimeOfALostConnection() {
         limit.connectionLost(1_000, 10);
         limit.connectionLost(400, 20);
         limit.connectionLost(900, 30);
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void isGivenUpAfterAWhile() {
+    void expiresAfterItsDuration() {
         limit.connectionLost(400, 20);
         assertThat(limit.maxIdleMs(20_019), is(200L));
         assertThat(limit.maxIdleMs(20_020), is(Long.MAX_VALUE));
     }
 
     @Test
-    void aConnectionThatHasHardlyRestedTellsNothing() {
+    void aConnectionLostAfterAShortIdleTimeIsIgnored() {
         limit.connectionLost(39, 20);
         assertThat(limit.maxIdleMs(30), is(Long.MAX_VALUE));
     }
--- a/src/test/java/routerfleet/data/QuotaClientTest.java
+++ b/src/test/java/routerfleet/data/QuotaClientTest.java
@@ -20,78 +20,78 @@
 class QuotaClientTest {
     private static final double RATE = QuotaSimulation.RATE;
     /** The rule: (rate * window + burst) * (1 + overshoot) + slack. */
-    private static final double ALLOWED = (RATE * 8 + RATE) * 1.1 + 40_000;
-    private static final long PLAYED_MS = 40_000;
+    private static final double MAX_IN_WINDOW = (RATE * 8 + RATE) * 1.1 + 40_000;
+    private static final long SIMULATED_MS = 40_000;
     private static final int SEEDS = 12;
-    private static final double SMALL = 150;
-    private static final double LARGE = 3_600;
-    private static final double FAIR = 80;
+    private static final double SMALL_COST = 150;
+    private static final double LARGE_COST = 3_600;
+    private static final double FAIR_LEVEL = 80;
 
     @ParameterizedTest
     @EnumSource(value = Fault.class, names = "GRANTS_EVERYTHING", mode = EnumSource.Mode.EXCLUDE)
-    void noWindowHoldsMoreThanTheLimitWhateverControlNodesDo(Fault fault) {
+    void noWindowExceedsTheLimitUnderAnyControlNodeFault(Fault fault) {
         for (long seed = 0; seed < SEEDS; seed++) {
             for (int controls = 1; controls <= 5; controls += 2) {
-                assertThat(new QuotaSimulation(seed, controls, 6, fault).play(PLAYED_MS, 8 * RATE, SMALL, 0.5)
-                        .mostInWindow(), is(lessThanOrEqualTo(ALLOWED)));
-                assertThat(new QuotaSimulation(seed, controls, 60, fault).play(PLAYED_MS, 3 * RATE, LARGE, 0)
-                        .mostInWindow(), is(lessThanOrEqualTo(ALLOWED)));
+                assertThat(new QuotaSimulation(seed, controls, 6, fault).simulate(SIMULATED_MS, 8 * RATE, SMALL_COST, 0.5)
+                        .maxInWindow(), is(lessThanOrEqualTo(MAX_IN_WINDOW)));
+                assertThat(new QuotaSimulation(seed, controls, 60, fault).simulate(SIMULATED_MS, 3 * RATE, LARGE_COST, 0)
+                        .maxInWindow(), is(lessThanOrEqualTo(MAX_IN_WINDOW)));
             }
         }
     }
 
     @Test
-    void theCheckFindsControlNodesThatGrantEverything() {
-        assertThat(new QuotaSimulation(1, 3, 6, Fault.GRANTS_EVERYTHING).play(PLAYED_MS, 3 * RATE, SMALL, 0)
-                .mostInWindow(), is(greaterThan(ALLOWED)));
+    void theCheckDetectsControlNodesThatGrantEverything() {
+        assertThat(new QuotaSimulation(1, 3, 6, Fault.GRANTS_EVERYTHING).simulate(SIMULATED_MS, 3 * RATE, SMALL_COST, 0)
+                .maxInWindow(), is(greaterThan(MAX_IN_WINDOW)));
     }
 
     @Test
-    void demandBelowTheLimitIsAdmittedWhereverItIs() {
+    void demandBelowTheLimitIsAdmittedHoweverItIsDistributed() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            assertThat(new QuotaSimulation(seed, 3, 6, Fault.NONE).play(PLAYED_MS, 0.75 * RATE, SMALL, 0.2)
-                    .admittedPart(), is(greaterThan(0.99)));
-            assertThat(new QuotaSimulation(seed, 3, 6, Fault.NONE).play(PLAYED_MS, 0.75 * RATE, SMALL, 0.8)
-                    .admittedPart(), is(greaterThan(0.99)));
+            assertThat(new QuotaSimulation(seed, 3, 6, Fault.NONE).simulate(SIMULATED_MS, 0.75 * RATE, SMALL_COST, 0.2)
+                    .admittedShare(), is(greaterThan(0.99)));
+            assertThat(new QuotaSimulation(seed, 3, 6, Fault.NONE).simulate(SIMULATED_MS, 0.75 * RATE, SMALL_COST, 0.8)
+                    .admittedShare(), is(greaterThan(0.99)));
         }
     }
 
-    private static double meanAdmittedOfLargeRequests(int controls) {
+    private static double meanAdmittedShareOfLargeRequests(int controls) {
         double sum = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            sum += new QuotaSimulation(seed, controls, 60, Fault.NONE).play(PLAYED_MS, 0.75 * RATE, LARGE, 0)
-                    .admittedPart();
+            sum += new QuotaSimulation(seed, controls, 60, Fault.NONE).simulate(SIMULATED_MS, 0.75 * RATE, LARGE_COST, 0)
+                    .admittedShare();
         }
         return sum / SEEDS;
     }
 
     @Test
     void largeRequestsBelowTheLimitAreAdmittedHoweverManyNodesThereAre() {
-        double undivided = meanAdmittedOfLargeRequests(1);
-        double divided = meanAdmittedOfLargeRequests(5);
+        double undivided = meanAdmittedShareOfLargeRequests(1);
+        double divided = meanAdmittedShareOfLargeRequests(5);
         assertThat(divided, is(greaterThan(0.95)));
         assertThat("the division costs little", undivided - divided, is(lessThan(0.04)));
     }
 
     @Test
-    void oneControlNodeThatIsSilentTakesNoMoreThanItsPart() {
+    void oneUnresponsiveControlNodeCostsNoMoreThanItsShare() {
         for (long seed = 0; seed < SEEDS; seed++) {
-            assertThat(new QuotaSimulation(seed, 3, 6, Fault.SILENCE).play(PLAYED_MS, 0.6 * RATE, SMALL, 0.2)
-                    .admittedPart(), is(greaterThan(0.97)));
+            assertThat(new QuotaSimulation(seed, 3, 6, Fault.SILENCE).simulate(SIMULATED_MS, 0.6 * RATE, SMALL_COST, 0.2)
+                    .admittedShare(), is(greaterThan(0.97)));
         }
     }
 
     @Test
-    void withoutControlNodesOnlyTheReservesAreUsed() {
-        QuotaSimulation.Result result = new QuotaSimulation(1, 3, 6, Fault.ALL_SILENT).play(PLAYED_MS, RATE, SMALL, 0);
+    void onlyTheReservesAreUsedWhenAllControlNodesAreUnresponsive() {
+        QuotaSimulation.Result result = new QuotaSimulation(1, 3, 6, Fault.ALL_SILENT).simulate(SIMULATED_MS, RATE, SMALL_COST, 0);
         double slack = 40_000 + 0.1 * 9 * RATE;
-        assertThat(result.mostInWindow(), is(lessThanOrEqualTo(0.35 * slack)));
-        assertThat(result.admittedPart(), is(greaterThan(0.05)));
-        assertThat(result.admittedPart(), is(lessThan(0.35 * slack / 8 / RATE + 0.01)));
+        assertThat(result.maxInWindow(), is(lessThanOrEqualTo(0.35 * slack)));
+        assertThat(result.admittedShare(), is(greaterThan(0.05)));
+        assertThat(result.admittedShare(), is(lessThan(0.35 * slack / 8 / RATE + 0.01)));
     }
 
     /** Keeps what is sent, and answers nothing by itself. */
-    private static final class HeldTransport implements QuotaClient.Transport {
+    private static final class RecordingTransport implements QuotaClient.Transport {
         private final List<PeerMessage.QuotaAsk> sent = new ArrayList<>();
         private final List<Runnable> scheduled = new ArrayList<>();
         private long nowMs = 1_000;
@@ -119,9 +119,9 @@
     }
 
     @Test
-    void whatIsGrantedToARequestThatHasGoneServesAnotherOneForAWhile() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+    void aGrantToAnAbandonedRequestIsReusedUntilItExpires() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         client.admit(QuotaSimulation.TENANT, 100, admission -> false);
         client.answered(PeerMessage.QuotaAnswer.granted(transport.sent.get(0).id()));
@@ -133,22 +133,22 @@
         assertThat("what is kept expires", transport.sent.size(), is(2));
     }
 
-    private static void denyTwice(QuotaClient client, HeldTransport transport, double available) {
+    private static void denyTwice(QuotaClient client, RecordingTransport transport, double available) {
         int sent = transport.sent.size();
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(sent - 1).id(), 700, available, FAIR));
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(sent).id(), 300, available, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(sent - 1).id(), 700, available, FAIR_LEVEL));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(sent).id(), 300, available, FAIR_LEVEL));
     }
 
     @Test
-    void aDenialIsFinalOnlyOnceEveryHolderHasBeenAsked() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+    void aDenialIsFinalOnlyAfterEveryHolderHasDenied() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Admission> admissions = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 4_100, admissions::add);
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(0).id(), 700, 50, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(0).id(), 700, 50, FAIR_LEVEL));
         assertThat(admissions.size(), is(0));
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 300, 50, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 300, 50, FAIR_LEVEL));
         assertThat(admissions, is(List.of(new QuotaClient.Admission(QuotaClient.Outcome.DENIED, 300))));
         client.admit(QuotaSimulation.TENANT, 4_100, admissions::add);
         assertThat("denied anew without a question", transport.sent.size(), is(2));
@@ -158,8 +158,8 @@
 
     @Test
     void belowTheFairLevelRequestsOfEverySizeAreDenied() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Admission> admissions = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 10, admissions::add);
@@ -171,14 +171,14 @@
     }
 
     @Test
-    void requestsOfAllSizesAreServedAlikeWhereATenantAsksForMoreThanItsLimit() {
+    void requestsOfAllSizesAreServedFairlyAboveTheLimit() {
         double small = 0;
         double large = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            QuotaSimulation.Mixed mixed = new QuotaSimulation(seed, 3, 6, Fault.NONE).playMixed(PLAYED_MS, 4 * RATE, 400,
-                    LARGE);
-            small += mixed.smallPart() / SEEDS;
-            large += mixed.largePart() / SEEDS;
+            QuotaSimulation.MixedResult mixed = new QuotaSimulation(seed, 3, 6, Fault.NONE).simulateMixed(SIMULATED_MS, 4 * RATE, 400,
+                    LARGE_COST);
+            small += mixed.smallAdmittedShare() / SEEDS;
+            large += mixed.largeAdmittedShare() / SEEDS;
         }
         assertThat(small, is(lessThan(0.5)));
         assertThat(large, is(greaterThan(0.5 * small)));
@@ -186,14 +186,14 @@
     }
 
     @Test
-    void holdersThatHoldEnoughOnlyTogetherEachGivePart() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+    void aRequestIsCombinedFromSeveralHolders() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 100, admission -> outcomes.add(admission.outcome()));
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(0).id(), 100, 60, FAIR));
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 100, 70, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(0).id(), 100, 60, FAIR_LEVEL));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 100, 70, FAIR_LEVEL));
         assertThat(transport.sent.get(2).amount(), is(60.0));
         client.answered(PeerMessage.QuotaAnswer.granted(transport.sent.get(2).id()));
         assertThat(transport.sent.get(3).amount(), is(40.0));
@@ -203,9 +203,9 @@
     }
 
     @Test
-    void aHolderThatDoesNotAnswerIsPassedOver() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+    void aHolderThatDoesNotAnswerIsSkipped() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 100, admission -> outcomes.add(admission.outcome()));
@@ -217,9 +217,9 @@
 
     /** Guards requests while control nodes are slow: the answer of one that was passed over counts as soon as it comes. */
     @Test
-    void aLateGrantAdmitsTheRequestThatStillWaits() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(1), transport);
+    void aLateGrantAdmitsTheWaitingRequest() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(1), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 100, admission -> outcomes.add(admission.outcome()));
@@ -235,10 +235,10 @@
 
     /** Guards the reserves together: a node that does not know how many share them has none. */
     @Test
-    void thereIsNoReserveBeforeTheFleetsSizeIsKnown() {
-        HeldTransport transport = new HeldTransport();
+    void thereIsNoReserveBeforeTheFleetSizeIsKnown() {
+        RecordingTransport transport = new RecordingTransport();
         FleetSize size = new FleetSize();
-        size.told(1, true, transport.nowMs);
+        size.countReported(1, true, transport.nowMs);
         QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, size, transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
@@ -246,7 +246,7 @@
         transport.scheduled.get(0).run();
         transport.scheduled.get(1).run();
         assertThat(outcomes, is(List.of(QuotaClient.Outcome.UNKNOWN)));
-        size.told(6, false, transport.nowMs);
+        size.countReported(6, false, transport.nowMs);
         client.admit(QuotaSimulation.TENANT, 10, admission -> outcomes.add(admission.outcome()));
         transport.scheduled.get(2).run();
         transport.scheduled.get(3).run();
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void tokenCountsThatAreNoNumbersCountAsNone() {
+    void invalidTokenCountsFallBackToTheDefaultCost() {
         TenantConfig tenant = new TenantConfig("one", List.of("k"), 0, "token_count", 70, 1_000, 1_000);
         assertThat(QuotaClient.cost(tenant, "100,20"), is(120.0));
         for (String absurd : new String[] {"NaN,1", "Infinity", "1e308,1e308", "x", ""}) {
@@ -264,18 +264,18 @@
 
     /** Guards tenants on both sides of a partition: the reserve stands in for parts that are out of reach. */
     @Test
-    void theReserveDecidesWhereAHolderIsOutOfReachAndTheOthersDeny() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(6), transport);
+    void theReserveIsUsedWhenAHolderIsUnreachableAndTheOthersDeny() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(6), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
         client.admit(QuotaSimulation.TENANT, 100, admission -> outcomes.add(admission.outcome()));
         transport.scheduled.get(0).run();
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 700, 0, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 700, 0, FAIR_LEVEL));
         assertThat(outcomes, is(List.of(QuotaClient.Outcome.ADMITTED)));
         double reserve = QuotaDivision.reserve(QuotaSimulation.TENANT, QuotaSimulation.BOUNDS, 6);
         client.admit(QuotaSimulation.TENANT, reserve, admission -> outcomes.add(admission.outcome()));
-        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(2).id(), 700, 0, FAIR));
+        client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(2).id(), 700, 0, FAIR_LEVEL));
         transport.scheduled.get(3).run();
         assertThat("no more than the reserve", outcomes,
                 is(List.of(QuotaClient.Outcome.ADMITTED, QuotaClient.Outcome.DENIED)));
@@ -283,9 +283,9 @@
 
     /** Guards requests on a side that is cut off against the time that silent holders would take of each. */
     @Test
-    void holdersThatStaySilentAreNotWaitedForByEachRequest() {
-        HeldTransport transport = new HeldTransport();
-        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetOf(6), transport);
+    void requestsDoNotWaitForHoldersKnownToBeUnresponsive() {
+        RecordingTransport transport = new RecordingTransport();
+        QuotaClient client = new QuotaClient(QuotaSimulation.BOUNDS, QuotaSimulation.fleetSizeOf(6), transport);
         client.configure(List.of(QuotaSimulation.TENANT));
         List<QuotaClient.Outcome> outcomes = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
--- a/src/test/java/routerfleet/data/QuotaSimulation.java
+++ b/src/test/java/routerfleet/data/QuotaSimulation.java
@@ -27,13 +27,13 @@
 
     private record Event(long atMs, long number, Runnable task) { }
 
-    private record Sent(long atMs, double amount) { }
+    private record AdmittedAmount(long atMs, double amount) { }
 
-    /** @param mostInWindow most that was admitted in any window; @param admittedPart of what was asked */
-    record Result(double mostInWindow, double admittedPart) { }
+    /** @param maxInWindow most that was admitted in any window; @param admittedShare of what was asked */
+    record Result(double maxInWindow, double admittedShare) { }
 
     /** Which part of the small and of the large requests was admitted. */
-    record Mixed(double smallPart, double largePart) { }
+    record MixedResult(double smallAdmittedShare, double largeAdmittedShare) { }
 
     private final Random random;
     private final int dataNodes;
@@ -42,14 +42,14 @@
             java.util.Comparator.comparingLong(Event::atMs).thenComparingLong(Event::number));
     private final Map<String, QuotaGrantor> grantors = new TreeMap<>();
     private final List<QuotaClient> clients = new ArrayList<>();
-    private final Deque<Sent> window = new ArrayDeque<>();
+    private final Deque<AdmittedAmount> window = new ArrayDeque<>();
     private List<String> controlNodes;
-    private String silent = "";
+    private String unresponsive = "";
     private long nowMs;
     private long lastEvent;
-    private double inWindow;
-    private double mostInWindow;
-    private double asked;
+    private double windowTotal;
+    private double maxWindowTotal;
+    private double requested;
     private double admitted;
 
     QuotaSimulation(long seed, int controls, int dataNodes, Fault fault) {
@@ -62,16 +62,16 @@
         }
         controlNodes.forEach(this::startControl);
         for (int i = 0; i < dataNodes; i++) {
-            QuotaClient client = new QuotaClient(BOUNDS, fleetOf(dataNodes), new Wire(i));
+            QuotaClient client = new QuotaClient(BOUNDS, fleetSizeOf(dataNodes), new SimulatedTransport(i));
             client.configure(List.of(TENANT));
             clients.add(client);
         }
     }
 
     /** A fleet of so many data nodes, as each of them knows it. */
-    static FleetSize fleetOf(int dataNodes) {
+    static FleetSize fleetSizeOf(int dataNodes) {
         FleetSize size = new FleetSize();
-        size.told(dataNodes, false, 0);
+        size.countReported(dataNodes, false, 0);
         return size;
     }
 
@@ -81,14 +81,14 @@
         grantors.put(address, grantor);
     }
 
-    private void at(long delayMs, Runnable task) {
+    private void scheduleEvent(long delayMs, Runnable task) {
         events.add(new Event(nowMs + delayMs, ++lastEvent, task));
     }
 
-    private final class Wire implements QuotaClient.Transport {
+    private final class SimulatedTransport implements QuotaClient.Transport {
         private final int node;
 
-        Wire(int node) {
+        SimulatedTransport(int node) {
             this.node = node;
         }
 
@@ -99,18 +99,18 @@
 
         @Override
         public boolean send(String controlNode, PeerMessage message) {
-            at(1 + random.nextInt(3), () -> arrive(controlNode, (PeerMessage.QuotaAsk) message));
+            scheduleEvent(1 + random.nextInt(3), () -> arrive(controlNode, (PeerMessage.QuotaAsk) message));
             return true;
         }
 
         private void arrive(String controlNode, PeerMessage.QuotaAsk ask) {
-            if (fault == Fault.ALL_SILENT || controlNode.equals(silent)) {
+            if (fault == Fault.ALL_SILENT || controlNode.equals(unresponsive)) {
                 return;
             }
             PeerMessage.QuotaAnswer answer = fault == Fault.GRANTS_EVERYTHING
                     ? PeerMessage.QuotaAnswer.granted(ask.id())
                     : grantors.get(controlNode).answer(ask, 100, nowMs);
-            at(1 + random.nextInt(3), () -> clients.get(node).answered(answer));
+            scheduleEvent(1 + random.nextInt(3), () -> clients.get(node).answered(answer));
         }
 
         @Override
@@ -120,34 +120,34 @@
 
         @Override
         public void schedule(Runnable task, long delayMs) {
-            at(delayMs, task);
+            scheduleEvent(delayMs, task);
         }
     }
 
     /**
      * Plays requests at random times.
      *
-     * @param askedPerS what all clients ask for, in the tenant's unit
+     * @param requestedPerS what all clients ask for, in the tenant's unit
      * @param cost mean size of a request; sizes lie between a tenth of it and nearly twice as much
-     * @param hotPart part of the requests that reach one node, another one every 3 s
+     * @param hotShare part of the requests that reach one node, another one every 3 s
      */
-    Result play(long forMs, double askedPerS, double cost, double hotPart) {
+    Result simulate(long durationMs, double requestedPerS, double cost, double hotShare) {
         if (fault == Fault.CRASHES || fault == Fault.SILENCE) {
-            at(random.nextInt(1_000), this::strike);
+            scheduleEvent(random.nextInt(1_000), this::injectFault);
         }
-        at(0, () -> request(askedPerS, cost, hotPart));
-        run(forMs);
-        return new Result(mostInWindow, admitted / asked);
+        scheduleEvent(0, () -> request(requestedPerS, cost, hotShare));
+        runEvents(durationMs);
+        return new Result(maxWindowTotal, admitted / requested);
     }
 
     /** Plays large requests, and twenty small ones for each of them. */
-    Mixed playMixed(long forMs, double askedPerS, double small, double large) {
-        long everyMs = Math.max(1, (long) ((20 * small + large) / askedPerS * 1_000 / 21));
+    MixedResult simulateMixed(long durationMs, double requestedPerS, double small, double large) {
+        long everyMs = Math.max(1, (long) ((20 * small + large) / requestedPerS * 1_000 / 21));
         int[] asks = new int[2];
         int[] admits = new int[2];
-        for (long ms = 0; ms < forMs; ms += everyMs) {
+        for (long ms = 0; ms < durationMs; ms += everyMs) {
             int kind = random.nextInt(21) == 0 ? 1 : 0;
-            at(ms, () -> {
+            scheduleEvent(ms, () -> {
                 asks[kind]++;
                 clients.get(random.nextInt(dataNodes)).admit(TENANT, kind == 1 ? large : small, admission -> {
                     admits[kind] += admission.outcome() == QuotaClient.Outcome.ADMITTED ? 1 : 0;
@@ -155,36 +155,36 @@
                 });
             });
         }
-        run(forMs);
-        return new Mixed((double) admits[0] / asks[0], (double) admits[1] / asks[1]);
+        runEvents(durationMs);
+        return new MixedResult((double) admits[0] / asks[0], (double) admits[1] / asks[1]);
     }
 
-    private void run(long forMs) {
-        while (!events.isEmpty() && events.peek().atMs() < forMs) {
+    private void runEvents(long durationMs) {
+        while (!events.isEmpty() && events.peek().atMs() < durationMs) {
             Event event = events.poll();
             nowMs = event.atMs();
             event.task().run();
         }
     }
 
-    private void strike() {
-        String struck = controlNodes.get(random.nextInt(controlNodes.size()));
+    private void injectFault() {
+        String target = controlNodes.get(random.nextInt(controlNodes.size()));
         if (fault == Fault.CRASHES) {
-            startControl(struck);
-            clients.forEach(client -> client.disconnected(struck));
+            startControl(target);
+            clients.forEach(client -> client.disconnected(target));
         } else {
-            silent = silent.isEmpty() ? struck : "";
+            unresponsive = unresponsive.isEmpty() ? target : "";
         }
-        at(700 + random.nextInt(2_500), this::strike);
+        scheduleEvent(700 + random.nextInt(2_500), this::injectFault);
     }
 
-    private void request(double askedPerS, double cost, double hotPart) {
+    private void request(double requestedPerS, double cost, double hotShare) {
         int hot = (int) (nowMs / 3_000 % dataNodes);
-        QuotaClient client = clients.get(random.nextDouble() < hotPart ? hot : random.nextInt(dataNodes));
+        QuotaClient client = clients.get(random.nextDouble() < hotShare ? hot : random.nextInt(dataNodes));
         double amount = cost * (0.1 + 1.8 * random.nextDouble());
         long sentMs = nowMs;
         if (nowMs > WINDOW_MS) {
-            asked += amount; // after the buckets have filled
+            requested += amount; // after the buckets have filled
         }
         client.admit(TENANT, amount, admission -> {
             if (admission.outcome() == QuotaClient.Outcome.ADMITTED) {
@@ -192,17 +192,17 @@
             }
             return true;
         });
-        at(Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * cost / askedPerS * 1_000)),
-                () -> request(askedPerS, cost, hotPart));
+        scheduleEvent(Math.max(1, (long) (-Math.log(1 - random.nextDouble()) * cost / requestedPerS * 1_000)),
+                () -> request(requestedPerS, cost, hotShare));
     }
 
     private void count(double amount, long sentMs) {
         admitted += sentMs > WINDOW_MS ? amount : 0;
-        window.addLast(new Sent(nowMs, amount));
-        inWindow += amount;
+        window.addLast(new AdmittedAmount(nowMs, amount));
+        windowTotal += amount;
         while (window.peekFirst().atMs() <= nowMs - WINDOW_MS) {
-            inWindow -= window.pollFirst().amount();
+            windowTotal -= window.pollFirst().amount();
         }
-        mostInWindow = Math.max(mostInWindow, inWindow);
+        maxWindowTotal = Math.max(maxWindowTotal, windowTotal);
     }
 }
--- a/src/test/java/routerfleet/data/RoutingTableTest.java
+++ b/src/test/java/routerfleet/data/RoutingTableTest.java
@@ -22,19 +22,19 @@
     }
 
     @Test
-    void theLongestPrefixOfTheHostWins() {
+    void theLongestMatchingPrefixOfTheHostWins() {
         RoutingTable table = table(route("root", "/", null), route("a", "/a/", null), route("ab", "/a/b/", null));
-        assertThat(table.route("fleet.example:80", "/a/b/c?x=/y/").config().name(), is("ab"));
-        assertThat(table.route("FLEET.example", "/a/bc").config().name(), is("a"));
-        assertThat(table.route("fleet.example", "/b").config().name(), is("root"));
-        assertThat(table.route("other.example", "/a/"), is(nullValue()));
-        assertThat(table(route("a", "/a/", null)).route("fleet.example", "/ab/"), is(nullValue()));
+        assertThat(table.findRoute("fleet.example:80", "/a/b/c?x=/y/").config().name(), is("ab"));
+        assertThat(table.findRoute("FLEET.example", "/a/bc").config().name(), is("a"));
+        assertThat(table.findRoute("fleet.example", "/b").config().name(), is("root"));
+        assertThat(table.findRoute("other.example", "/a/"), is(nullValue()));
+        assertThat(table(route("a", "/a/", null)).findRoute("fleet.example", "/ab/"), is(nullValue()));
     }
 
     @Test
-    void weightsDivideTheLots() {
+    void backendsAreChosenByWeight() {
         RoutingTable.Route route = table(route("a", "/a/", new ArrayList<>(List.of(new WeightedBackend("x", 1),
-                new WeightedBackend("none", 0), new WeightedBackend("y", 3))))).route("fleet.example", "/a/");
+                new WeightedBackend("none", 0), new WeightedBackend("y", 3))))).findRoute("fleet.example", "/a/");
         assertThat(route.backend(0), is("x"));
         assertThat(route.backend(0.249), is("x"));
         assertThat(route.backend(0.251), is("y"));
--- a/src/test/java/routerfleet/data/ChooserSimulation.java
+++ b/src/test/java/routerfleet/data/ServerChoiceSimulation.java
@@ -12,20 +12,20 @@
  * Many nodes, each with the real choice and its own outcomes only, before emulated engines in virtual time. Short prompts
  * come all the time, long ones with shared parts where asked for.
  */
-final class ChooserSimulation {
-    static final long AIM_SHORT_MS = 400;
-    static final long AIM_LONG_MS = 800;
-    private static final int FAILURE_AIMS = 3;
+final class ServerChoiceSimulation {
+    static final long SHORT_TARGET_LATENCY_MS = 400;
+    static final long LONG_TARGET_LATENCY_MS = 800;
+    private static final int FAILURE_LATENCY_FACTOR = 3;
     private static final double SHORT_TOKENS = 383;
-    private static final int SHORT_OUT = 45;
+    private static final int SHORT_OUTPUT_TOKENS = 45;
     private static final double SHARED_TOKENS = 13_300;
     private static final double OWN_TOKENS = 3_720;
-    private static final int LONG_OUT = 120;
-    private static final double SPREAD = 1;
-    private static final double MOST_TIMES = 8;
+    private static final int LONG_OUTPUT_TOKENS = 120;
+    private static final double LOG_NORMAL_SIGMA = 1;
+    private static final double MAX_MEAN_MULTIPLE = 8;
 
-    /** @param shortsPerS, longsPerS requests a second over all nodes; @param parts how many shared parts there are */
-    record Deployment(int nodes, int engines, int zones, double shortsPerS, double longsPerS, int parts) { }
+    /** @param shortsPerS, longsPerS requests a second over all nodes; @param prefixes how many shared parts there are */
+    record Deployment(int nodes, int engines, int zones, double shortsPerS, double longsPerS, int prefixes) { }
 
     private record Event(double atMs, long number, Runnable task) { }
 
@@ -51,12 +51,12 @@
     final List<EmulatedEngine> engines = new ArrayList<>();
     final List<Node> nodes = new ArrayList<>();
     private int lastServer;
-    private int shorts;
-    private int shortsInAim;
-    private int longs;
-    private int longsInAim;
+    private int shortCount;
+    private int shortsOnTarget;
+    private int longCount;
+    private int longsOnTarget;
 
-    ChooserSimulation(Deployment deployment, long seed) {
+    ServerChoiceSimulation(Deployment deployment, long seed) {
         this.deployment = deployment;
         random = new SplittableRandom(seed);
         for (int i = 0; i < deployment.nodes(); i++) {
@@ -65,8 +65,8 @@
         for (int i = 0; i < deployment.engines(); i++) {
             addEngine();
         }
-        arrivals(deployment.shortsPerS(), this::shortRequest);
-        arrivals(deployment.longsPerS(), this::longRequest);
+        scheduleArrivals(deployment.shortsPerS(), this::shortRequest);
+        scheduleArrivals(deployment.longsPerS(), this::longRequest);
     }
 
     private String zone(int number) {
@@ -85,7 +85,7 @@
             node.engineOf.put(server, engine);
             node.serverOf.put(engine, server);
             node.pool.add(server);
-            node.pool.settle();
+            node.pool.applyMembership();
         }
         return engine;
     }
@@ -104,73 +104,73 @@
     }
 
     /** Forgets what has been counted so far. */
-    void countAnew() {
-        shorts = 0;
-        shortsInAim = 0;
-        longs = 0;
-        longsInAim = 0;
+    void resetCounts() {
+        shortCount = 0;
+        shortsOnTarget = 0;
+        longCount = 0;
+        longsOnTarget = 0;
     }
 
     /** The part of short requests that had their first event within the objective. */
-    double shortsInAim() {
-        return (double) shortsInAim / Math.max(1, shorts);
+    double shortsOnTarget() {
+        return (double) shortsOnTarget / Math.max(1, shortCount);
     }
 
-    double longsInAim() {
-        return (double) longsInAim / Math.max(1, longs);
+    double longsOnTarget() {
+        return (double) longsOnTarget / Math.max(1, longCount);
     }
 
-    private void arrivals(double perS, Runnable request) {
+    private void scheduleArrivals(double perS, Runnable request) {
         if (perS > 0) {
             after(-Math.log(1 - random.nextDouble()) * 1_000 / perS, () -> {
                 request.run();
-                arrivals(perS, request);
+                scheduleArrivals(perS, request);
             });
         }
     }
 
-    private double spread(double mean) {
+    private double logNormal(double mean) {
         double gauss = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
-        return Math.min(MOST_TIMES * mean, mean * Math.exp(SPREAD * gauss - SPREAD * SPREAD / 2));
+        return Math.min(MAX_MEAN_MULTIPLE * mean, mean * Math.exp(LOG_NORMAL_SIGMA * gauss - LOG_NORMAL_SIGMA * LOG_NORMAL_SIGMA / 2));
     }
 
     private void shortRequest() {
-        send(new PromptProfile("short", new PromptPrefix(0, 0, (long) SHORT_TOKENS), AIM_SHORT_MS), 0, 0,
-                spread(SHORT_TOKENS), (int) Math.ceil(spread(SHORT_OUT)));
+        send(new PromptProfile("short", new PromptPrefix(0, 0, (long) SHORT_TOKENS), SHORT_TARGET_LATENCY_MS), 0, 0,
+                logNormal(SHORT_TOKENS), (int) Math.ceil(logNormal(SHORT_OUTPUT_TOKENS)));
     }
 
     private void longRequest() {
-        long part = 1 + random.nextInt(deployment.parts());
-        double shared = SHARED_TOKENS * (0.5 + (part % 11) / 10.0);
-        send(new PromptProfile("long", new PromptPrefix(part, (long) shared, (long) (shared + OWN_TOKENS)), AIM_LONG_MS),
-                part, shared, spread(OWN_TOKENS), (int) Math.ceil(spread(LONG_OUT)));
+        long prefix = 1 + random.nextInt(deployment.prefixes());
+        double shared = SHARED_TOKENS * (0.5 + (prefix % 11) / 10.0);
+        send(new PromptProfile("long", new PromptPrefix(prefix, (long) shared, (long) (shared + OWN_TOKENS)), LONG_TARGET_LATENCY_MS),
+                prefix, shared, logNormal(OWN_TOKENS), (int) Math.ceil(logNormal(LONG_OUTPUT_TOKENS)));
     }
 
-    private void send(PromptProfile profile, long part, double shared, double own, int tokensOut) {
+    private void send(PromptProfile profile, long prefix, double shared, double own, int tokensOut) {
         Node node = nodes.get(random.nextInt(nodes.size()));
-        int room = Math.max(4, (int) Math.ceil(2.0 * EmulatedEngine.Capability.SMALL_BATCH.slots() / nodes.size()));
-        Server server = node.pool.choose(profile, room, List.of(), (long) nowMs);
+        int limit = Math.max(4, (int) Math.ceil(2.0 * EmulatedEngine.Capability.SMALL_BATCH.slots() / nodes.size()));
+        Server server = node.pool.choose(profile, limit, List.of(), (long) nowMs);
         if (server == null) {
             count(profile, false);
             return;
         }
-        server.sent((long) nowMs);
-        node.engineOf.get(server).take(new EmulatedEngine.Job(part, shared, own, tokensOut,
+        server.requestSent((long) nowMs);
+        node.engineOf.get(server).submit(new EmulatedEngine.Job(prefix, shared, own, tokensOut,
                 new Outcome(node, server, profile, nowMs)));
     }
 
-    private void count(PromptProfile profile, boolean inAim) {
+    private void count(PromptProfile profile, boolean onTarget) {
         if (profile.isLong()) {
-            longs++;
-            longsInAim += inAim ? 1 : 0;
+            longCount++;
+            longsOnTarget += onTarget ? 1 : 0;
         } else {
-            shorts++;
-            shortsInAim += inAim ? 1 : 0;
+            shortCount++;
+            shortsOnTarget += onTarget ? 1 : 0;
         }
     }
 
     /** What a node learns of one request. */
-    private final class Outcome implements EmulatedEngine.Receiver {
+    private final class Outcome implements EmulatedEngine.JobListener {
         private final Node node;
         private final Server server;
         private final PromptProfile profile;
@@ -191,19 +191,19 @@
 
         @Override
         public void finished() {
-            server.ended();
-            server.succeeded();
+            server.requestEnded();
+            server.recordSuccess();
             node.outcomes++;
-            node.pool.learn(profile, server, firstMs, true);
+            node.pool.recordOutcome(profile, server, firstMs, true);
             count(profile, firstMs <= profile.targetLatencyMs());
         }
 
         @Override
         public void failed() {
-            server.ended();
-            server.erred((long) nowMs);
+            server.requestEnded();
+            server.recordError((long) nowMs);
             node.outcomes++;
-            node.pool.learn(profile, server, FAILURE_AIMS * profile.targetLatencyMs(), false);
+            node.pool.recordOutcome(profile, server, FAILURE_LATENCY_FACTOR * profile.targetLatencyMs(), false);
             count(profile, false);
         }
     }
--- a/src/test/java/routerfleet/data/ServerPoolTest.java
+++ b/src/test/java/routerfleet/data/ServerPoolTest.java
@@ -19,12 +19,12 @@
 
 /** The choice among listed servers. */
 class ServerPoolTest {
-    private static final int ROOM = 100;
+    private static final int IN_FLIGHT_LIMIT = 100;
 
-    private static final long AIM_MS = 400;
+    private static final long TARGET_LATENCY_MS = 400;
 
     private static PromptProfile profile(String requestClass, PromptPrefix prefix) {
-        return new PromptProfile(requestClass, prefix, AIM_MS);
+        return new PromptProfile(requestClass, prefix, TARGET_LATENCY_MS);
     }
 
     private static Server server(int number) {
@@ -40,148 +40,148 @@
             servers.add(server(i));
             pool.add(servers.get(i));
         }
-        pool.settle();
+        pool.applyMembership();
         return servers;
     }
 
     @Test
-    void fasterServersDrawMore() {
+    void fasterServersGetMoreRequests() {
         ServerPool pool = new ServerPool(1, "a");
         List<Server> servers = fill(pool, 4);
         Map<Server, Integer> chosen = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
-            Server server = pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 1);
-            pool.learn(profile("c", PromptPrefix.NONE), server, server == servers.get(0) ? 400 : 50, true);
+            Server server = pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 1);
+            pool.recordOutcome(profile("c", PromptPrefix.NONE), server, server == servers.get(0) ? 400 : 50, true);
             chosen.merge(server, 1, Integer::sum);
         }
         assertThat(chosen.get(servers.get(0)), is(lessThan(chosen.get(servers.get(1)) / 2)));
     }
 
     @Test
-    void aSharedPartKeepsItsHomeAsServersComeAndGo() {
+    void mostPrefixesKeepTheirServerWhenServersAreAdded() {
         ServerPool pool = new ServerPool(1, "a");
         fill(pool, 6);
         Map<Integer, Server> homes = new HashMap<>();
         for (int part = 0; part < 200; part++) {
-            homes.put(part, pool.choose(profile("c", new PromptPrefix(part + 1, 9_000, 9_000)), ROOM, List.of(), 1));
+            homes.put(part, pool.choose(profile("c", new PromptPrefix(part + 1, 9_000, 9_000)), IN_FLIGHT_LIMIT, List.of(), 1));
         }
         pool.add(server(99));
-        pool.settle();
+        pool.applyMembership();
         int same = 0;
         for (int part = 0; part < 200; part++) {
             same += homes.get(part) == pool.choose(profile("c", new PromptPrefix(part + 1, 9_000, 9_000)),
-                    ROOM, List.of(), 1) ? 1 : 0;
+                    IN_FLIGHT_LIMIT, List.of(), 1) ? 1 : 0;
         }
         assertThat(same, is(greaterThan(140)));
     }
 
     /** Guards kept parts: one good answer of another server is not worth reading a long part anew there. */
     @Test
-    void oneGoodAnswerElsewhereDoesNotTakeASharedPartAway() {
+    void oneFastResponseElsewhereDoesNotMoveAPrefix() {
         ServerPool pool = new ServerPool(1, "a");
         fill(pool, 40);
         PromptPrefix part = new PromptPrefix(7, 13_000, 13_000);
-        Server home = pool.choose(profile("c", part), ROOM, List.of(), 1);
-        Server next = pool.choose(profile("c", part), ROOM, List.of(home), 1);
-        Server third = pool.choose(profile("c", part), ROOM, List.of(home, next), 1);
-        pool.learn(profile("c", PromptPrefix.NONE), third, 200, true);
-        pool.learn(profile("c", PromptPrefix.NONE), next, 100, true);
-        home.sent(1);
-        assertThat(pool.choose(profile("c", part), ROOM, List.of(), 1), is(home));
-        home.failed(10);
-        assertThat("one that is left alone loses it", pool.choose(profile("c", part), ROOM, List.of(), 11), is(not(home)));
+        Server home = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 1);
+        Server next = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(home), 1);
+        Server third = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(home, next), 1);
+        pool.recordOutcome(profile("c", PromptPrefix.NONE), third, 200, true);
+        pool.recordOutcome(profile("c", PromptPrefix.NONE), next, 100, true);
+        home.requestSent(1);
+        assertThat(pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 1), is(home));
+        home.backOff(10);
+        assertThat("one that is left alone loses it", pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 11), is(not(home)));
     }
 
     @Test
-    void aServerIsNotTriedTwiceAndFullOnesGetNothing() {
+    void aServerIsNotTriedTwiceAndFullServersGetNoRequests() {
         ServerPool pool = new ServerPool(1, "a");
         List<Server> servers = fill(pool, 2);
-        Server first = pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 1);
-        assertThat(pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(first), 1), is(not(first)));
-        servers.forEach(s -> s.sent(1));
+        Server first = pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 1);
+        assertThat(pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(first), 1), is(not(first)));
+        servers.forEach(s -> s.requestSent(1));
         assertThat(pool.choose(profile("c", PromptPrefix.NONE), 1, List.of(), 1), is(nullValue()));
     }
 
     @Test
-    void aServerThatFailedIsLeftAloneForAWhileUnlessThereIsNoOther() {
+    void aFailedServerIsAvoidedUnlessThereIsNoOther() {
         ServerPool pool = new ServerPool(1, "a");
         List<Server> servers = fill(pool, 2);
-        servers.get(0).failed(10);
+        servers.get(0).backOff(10);
         for (int i = 0; i < 50; i++) {
-            assertThat(pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 11), is(servers.get(1)));
+            assertThat(pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 11), is(servers.get(1)));
         }
-        servers.get(1).failed(10);
-        assertThat(pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 11), is(not(nullValue())));
+        servers.get(1).backOff(10);
+        assertThat(pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 11), is(not(nullValue())));
     }
 
     @Test
-    void theChainUpToTheLongestSharedPartCounts() {
+    void thePrefixEndsWithTheLongestSharedPart() {
         PromptPrefix a = PromptPrefix.parse("5c1e07a2:13000,91bd3f06:41,e4402b7d:25");
         PromptPrefix b = PromptPrefix.parse("5c1e07a2:13000,77777777:30,e4402b7e:25");
-        assertThat(a.key(), is(b.key()));
+        assertThat(a.hash(), is(b.hash()));
         assertThat(PromptPrefix.parse("5c1e07a2:55,e4402b7d:2500"), is(new PromptPrefix(0, 0, 2_555)));
         assertThat(PromptPrefix.parse("garbage"), is(PromptPrefix.NONE));
     }
 
     /** Guards requests between a server's leaving and the settling that follows: the ring still has the one that left. */
     @Test
-    void aServerThatLeftGetsNothingFromThenOn() {
+    void aRemovedServerGetsNoRequests() {
         ServerPool pool = new ServerPool(1, "a");
         List<Server> servers = fill(pool, 3);
-        pool.learn(profile("c", PromptPrefix.NONE), servers.get(0), 50, true);
+        pool.recordOutcome(profile("c", PromptPrefix.NONE), servers.get(0), 50, true);
         servers.get(0).listed(false);
         pool.remove(servers.get(0));
         for (int part = 1; part < 100; part++) {
             assertThat(pool.choose(profile("c", new PromptPrefix(part, 9_000, 9_000)),
-                    ROOM, List.of(), 1), not(servers.get(0)));
+                    IN_FLIGHT_LIMIT, List.of(), 1), not(servers.get(0)));
         }
-        pool.settle();
+        pool.applyMembership();
         for (int part = 1; part < 100; part++) {
             assertThat(pool.choose(profile("c", new PromptPrefix(part, 9_000, 9_000)),
-                    ROOM, List.of(), 1), not(servers.get(0)));
+                    IN_FLIGHT_LIMIT, List.of(), 1), not(servers.get(0)));
         }
     }
 
     /** Guards a node that runs long: classes come and go with configurations, and only so many have a network. */
     @Test
-    void aNewClassHasANetworkOfItsOwnOnceOldOnesAreGone() {
+    void aNewClassHasItsOwnNetworkOnceOldClassesAreRemoved() {
         ServerPool pool = new ServerPool(1, "a");
         List<Server> servers = fill(pool, 2);
         for (int i = 0; i < 100; i++) {
-            pool.learn(profile("old-" + i, PromptPrefix.NONE), servers.get(0), 50, true);
+            pool.recordOutcome(profile("old-" + i, PromptPrefix.NONE), servers.get(0), 50, true);
         }
         pool.retainClasses(Set.of("new", "other"));
         for (int i = 0; i < 200; i++) {
-            pool.learn(profile("new", PromptPrefix.NONE), servers.get(0), 500, true);
-            pool.learn(profile("new", PromptPrefix.NONE), servers.get(1), 50, true);
-            pool.learn(profile("other", PromptPrefix.NONE), servers.get(0), 50, true);
-            pool.learn(profile("other", PromptPrefix.NONE), servers.get(1), 500, true);
+            pool.recordOutcome(profile("new", PromptPrefix.NONE), servers.get(0), 500, true);
+            pool.recordOutcome(profile("new", PromptPrefix.NONE), servers.get(1), 50, true);
+            pool.recordOutcome(profile("other", PromptPrefix.NONE), servers.get(0), 50, true);
+            pool.recordOutcome(profile("other", PromptPrefix.NONE), servers.get(1), 500, true);
         }
         Map<Server, Integer> chosen = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            chosen.merge(pool.choose(profile("new", PromptPrefix.NONE), ROOM, List.of(), 1), 1, Integer::sum);
+            chosen.merge(pool.choose(profile("new", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 1), 1, Integer::sum);
         }
         assertThat(chosen.getOrDefault(servers.get(1), 0), is(greaterThan(chosen.getOrDefault(servers.get(0), 0))));
         chosen.clear();
         for (int i = 0; i < 100; i++) {
-            chosen.merge(pool.choose(profile("other", PromptPrefix.NONE), ROOM, List.of(), 1), 1, Integer::sum);
+            chosen.merge(pool.choose(profile("other", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 1), 1, Integer::sum);
         }
         assertThat(chosen.getOrDefault(servers.get(0), 0), is(greaterThan(chosen.getOrDefault(servers.get(1), 0))));
     }
 
     /** Guards FAILBACK: a server that comes back cold looks idle to all nodes at one time, on every path of the choice. */
     @Test
-    void nodesTogetherDoNotFloodAColdServer() {
+    void nodesTogetherDoNotOverloadAColdServer() {
         int nodes = 84;
-        int mostASecond = 38;
-        double chance = WarmupRate.chance(WarmupRate.of(mostASecond), nodes);
+        int maxPerSecond = 38;
+        double probability = WarmupRate.permitProbability(WarmupRate.maxRate(maxPerSecond), nodes);
         List<ServerPool> pools = new ArrayList<>();
         List<List<Server>> known = new ArrayList<>();
         for (int node = 0; node < nodes; node++) {
             ServerPool pool = new ServerPool(node, "a");
-            pool.coldAdmission().chance(chance);
+            pool.coldAdmission().permitProbability(probability);
             known.add(fill(pool, 40));
-            known.get(node).get(0).warmth().told(2, 10_000, true, 0);
+            known.get(node).get(0).warmupState().heartbeatReported(2, 10_000, true, 0);
             pools.add(pool);
         }
         SplittableRandom random = new SplittableRandom(3);
@@ -189,12 +189,12 @@
         for (int i = 0; i < 8_000; i++) {
             long now = i;
             int node = random.nextInt(nodes);
-            boolean longOne = random.nextInt(6) == 0;
-            PromptPrefix prefix = longOne ? new PromptPrefix(random.nextInt(200) + 1, 9_000, 9_000) : PromptPrefix.NONE;
+            boolean longPrompt = random.nextInt(6) == 0;
+            PromptPrefix prefix = longPrompt ? new PromptPrefix(random.nextInt(200) + 1, 9_000, 9_000) : PromptPrefix.NONE;
             List<Server> tried = random.nextInt(10) == 0 ? known.get(node).subList(1, 38) : List.of();
-            Server server = pools.get(node).choose(profile("c", prefix), ROOM, tried, now);
+            Server server = pools.get(node).choose(profile("c", prefix), IN_FLIGHT_LIMIT, tried, now);
             if (server != null) {
-                pools.get(node).coldAdmission().claim(server, now);
+                pools.get(node).coldAdmission().acquirePermit(server, now);
             }
             if (server == known.get(node).get(0)) {
                 arrivals.add(now);
@@ -202,25 +202,25 @@
         }
         for (long from : arrivals) {
             long inSecond = arrivals.stream().filter(at -> at >= from && at < from + 1_000).count();
-            assertThat(inSecond, is(lessThanOrEqualTo((long) mostASecond)));
+            assertThat(inSecond, is(lessThanOrEqualTo((long) maxPerSecond)));
         }
         assertThat("it gets what it may, half of the rate or more", arrivals.size(), is(greaterThan(8 * 6)));
     }
 
     /** Guards the refusal at once: where all are cold, only permissions are used. */
     @Test
-    void whereAllServersAreColdOnlyPermissionsAreUsed() {
+    void onlyPermitsAreUsedWhenAllServersAreCold() {
         ServerPool pool = new ServerPool(1, "a");
-        fill(pool, 3).forEach(server -> server.warmth().told(2, 10_000, true, 0));
-        pool.coldAdmission().chance(0);
-        assertThat(pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 10), is(nullValue()));
-        assertThat(pool.choose(profile("c", new PromptPrefix(7, 9_000, 9_000)), ROOM, List.of(), 10), is(nullValue()));
-        pool.coldAdmission().chance(1);
+        fill(pool, 3).forEach(server -> server.warmupState().heartbeatReported(2, 10_000, true, 0));
+        pool.coldAdmission().permitProbability(0);
+        assertThat(pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 10), is(nullValue()));
+        assertThat(pool.choose(profile("c", new PromptPrefix(7, 9_000, 9_000)), IN_FLIGHT_LIMIT, List.of(), 10), is(nullValue()));
+        pool.coldAdmission().permitProbability(1);
         for (int i = 0; i < 3; i++) {
-            Server server = pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 110);
+            Server server = pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 110);
             assertThat(server, is(not(nullValue())));
-            pool.coldAdmission().claim(server, 110);
+            pool.coldAdmission().acquirePermit(server, 110);
         }
-        assertThat("each once", pool.choose(profile("c", PromptPrefix.NONE), ROOM, List.of(), 110), is(nullValue()));
+        assertThat("each once", pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 110), is(nullValue()));
     }
 }
--- a/src/test/java/routerfleet/data/ServerRegistryTest.java
+++ b/src/test/java/routerfleet/data/ServerRegistryTest.java
@@ -15,60 +15,60 @@
 class ServerRegistryTest {
     private final ServerRegistry registry = new ServerRegistry(1, System::nanoTime, "a");
 
-    private void told(long revision, String uid, String backend, SessionRecord.Phase phase) {
+    private void reportSession(long revision, String uid, String backend, SessionRecord.Phase phase) {
         SessionRecord session = new SessionRecord(uid, backend, "127.0.0.1:1000", "a", 16, phase, revision, 0);
-        registry.told("10.0.0.1", new PeerMessage.SessionChanges(1, revision, false,
+        registry.applySessionChanges("10.0.0.1", new PeerMessage.SessionChanges(1, revision, false,
                 List.of(new SessionView(session, true))));
     }
 
     /** Guards memory: services come and go under new names for as long as the node runs. */
     @Test
-    void aServiceWithoutServersIsForgotten() {
-        told(1, "s1", "llm", SessionRecord.Phase.READY);
+    void poolsWithoutServersAreRemoved() {
+        reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
         ServerPool used = registry.pool("llm");
-        registry.tick();
+        registry.removeStale();
         assertThat(registry.pool("llm"), is(sameInstance(used)));
-        told(2, "s1", "llm", SessionRecord.Phase.GONE);
-        registry.tick();
+        reportSession(2, "s1", "llm", SessionRecord.Phase.GONE);
+        registry.removeStale();
         assertThat(registry.pool("llm"), is(not(sameInstance(used))));
-        told(3, "s2", "llm", SessionRecord.Phase.READY);
+        reportSession(3, "s2", "llm", SessionRecord.Phase.READY);
         assertThat(registry.pool("llm").size(), is(1));
     }
 
-    private static SessionRecord earlier(String uid, SessionRecord.Phase phase) {
+    private static SessionRecord earlierSession(String uid, SessionRecord.Phase phase) {
         return new SessionRecord(uid, "llm", "127.0.0.1:1000", "a", 16, phase, 1, 0);
     }
 
     /** Guards service after a loss of power: what control nodes knew counts until one of them knows more. */
     @Test
-    void earlierServersAreUsedUntilATableHasFilled() {
-        registry.toldEarlier(List.of(earlier("s1", SessionRecord.Phase.READY), earlier("s2", SessionRecord.Phase.READY),
-                earlier("s3", SessionRecord.Phase.DRAINING)));
+    void earlierServersAreUsedUntilATableIsComplete() {
+        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY), earlierSession("s2", SessionRecord.Phase.READY),
+                earlierSession("s3", SessionRecord.Phase.DRAINING)));
         assertThat(registry.pool("llm").size(), is(2));
-        told(1, "s1", "llm", SessionRecord.Phase.READY);
-        registry.polled("10.0.0.1", true);
+        reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
+        registry.pollAnswered("10.0.0.1", true);
         assertThat("the table is filling", registry.pool("llm").size(), is(2));
-        registry.polled("10.0.0.1", false);
+        registry.pollAnswered("10.0.0.1", false);
         assertThat(registry.pool("llm").size(), is(1));
-        registry.toldEarlier(List.of(earlier("s2", SessionRecord.Phase.READY)));
+        registry.addEarlierSessions(List.of(earlierSession("s2", SessionRecord.Phase.READY)));
         assertThat("comes too late", registry.pool("llm").size(), is(1));
     }
 
     /** Guards a drain that was acknowledged since the start: the hint does not outweigh it. */
     @Test
-    void whatEndsIsUsedNoMoreWhateverWasKnownEarlier() {
-        registry.toldEarlier(List.of(earlier("s1", SessionRecord.Phase.READY)));
-        told(1, "s1", "llm", SessionRecord.Phase.DRAINING);
+    void aDrainedServerIsNotUsedEvenIfItWasKnownEarlier() {
+        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY)));
+        reportSession(1, "s1", "llm", SessionRecord.Phase.DRAINING);
         assertThat(registry.pool("llm").size(), is(0));
-        registry.toldEarlier(List.of(earlier("s1", SessionRecord.Phase.READY)));
+        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY)));
         assertThat(registry.pool("llm").size(), is(0));
     }
 
     /** Guards drains: from when this node counts as being in touch, only what was said since the start counts. */
     @Test
-    void earlierServersAreDroppedInTime() {
-        registry.toldEarlier(List.of(earlier("s1", SessionRecord.Phase.READY)));
-        registry.dropEarlier();
+    void earlierServersAreDroppedOnRequest() {
+        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY)));
+        registry.dropEarlierSessions();
         assertThat(registry.pool("llm").size(), is(0));
     }
 
@@ -79,62 +79,62 @@
     /** Guards EVAC: whatever brings a server of an evacuated zone up again, it is not used before the evacuation ends. */
     @Test
     void serversOfAnEvacuatedZoneAreNotUsedUntilItEnds() {
-        told(1, "s1", "llm", SessionRecord.Phase.READY);
-        registry.evacuated(List.of("a"));
+        reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
+        registry.setEvacuatedZones(List.of("a"));
         assertThat(isUsed("s1"), is(false));
-        told(2, "s2", "llm", SessionRecord.Phase.READY);
-        registry.toldEarlier(List.of(earlier("s3", SessionRecord.Phase.READY)));
-        registry.tick();
+        reportSession(2, "s2", "llm", SessionRecord.Phase.READY);
+        registry.addEarlierSessions(List.of(earlierSession("s3", SessionRecord.Phase.READY)));
+        registry.removeStale();
         assertThat("heard anew, or of earlier", registry.pool("llm").size(), is(0));
-        registry.evacuated(List.of());
+        registry.setEvacuatedZones(List.of());
         assertThat(isUsed("s1") && isUsed("s2"), is(true));
     }
 
     /** Guards what is known of a server's health: an evacuation must not make it forgotten, and an end still counts. */
     @Test
-    void aServerStaysTheSameOverAnEvacuationUnlessItEnds() {
-        told(1, "s1", "llm", SessionRecord.Phase.READY);
-        told(2, "s2", "llm", SessionRecord.Phase.READY);
+    void aServerIsKeptDuringAnEvacuationUnlessItEnds() {
+        reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
+        reportSession(2, "s2", "llm", SessionRecord.Phase.READY);
         Server before = registry.pool("llm").servers().get(0);
-        registry.evacuated(List.of("a"));
-        told(3, "s2", "llm", SessionRecord.Phase.GONE);
-        registry.tick();
-        registry.evacuated(List.of("b"));
+        registry.setEvacuatedZones(List.of("a"));
+        reportSession(3, "s2", "llm", SessionRecord.Phase.GONE);
+        registry.removeStale();
+        registry.setEvacuatedZones(List.of("b"));
         assertThat(registry.pool("llm").servers(), is(List.of(before)));
     }
 
     /** Guards FAILBACK: a server is known to be cold from the moment it is listed, and again when it turns cold. */
     @Test
-    void aServerIsListedAsColdAsItSays() {
+    void aServerIsColdForAsLongAsItReports() {
         for (long sequence : new long[] {1, 2}) {
             SessionRecord session = new SessionRecord("s1", "llm", "127.0.0.1:1000", "a", 16, SessionRecord.Phase.READY,
                     2 * sequence, 60_000);
-            registry.told("10.0.0.1", new PeerMessage.SessionChanges(1, sequence, false,
+            registry.applySessionChanges("10.0.0.1", new PeerMessage.SessionChanges(1, sequence, false,
                     List.of(new SessionView(session, true))));
             long nowMs = System.nanoTime() / 1_000_000;
-            assertThat(registry.pool("llm").servers().get(0).warmth().isCold(nowMs), is(true));
-            told(1, "s1", "llm", SessionRecord.Phase.READY);
-            assertThat("an earlier one", registry.pool("llm").servers().get(0).warmth().isCold(nowMs), is(true));
-            registry.told("10.0.0.1", new PeerMessage.SessionChanges(1, 1, false, List.of(new SessionView(
+            assertThat(registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(true));
+            reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
+            assertThat("an earlier one", registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(true));
+            registry.applySessionChanges("10.0.0.1", new PeerMessage.SessionChanges(1, 1, false, List.of(new SessionView(
                     new SessionRecord("s1", "llm", "127.0.0.1:1000", "a", 16, SessionRecord.Phase.READY,
                             2 * sequence + 1, 0), true))));
-            assertThat("warm", registry.pool("llm").servers().get(0).warmth().isCold(nowMs), is(false));
+            assertThat("warm", registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(false));
         }
     }
 
     /** Guards FAILBACK: servers may have turned cold shortly before the end of an evacuation, and their heartbeats lag. */
     @Test
-    void serversOfAZoneThatWasEvacuatedCountAsColdUntilTheySayMore() {
-        told(1, "s1", "llm", SessionRecord.Phase.READY);
+    void serversOfAFormerlyEvacuatedZoneAreAssumedCold() {
+        reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
         Server server = registry.pool("llm").servers().get(0);
-        registry.evacuated(List.of("a"));
-        registry.evacuated(List.of());
+        registry.setEvacuatedZones(List.of("a"));
+        registry.setEvacuatedZones(List.of());
         long nowMs = System.nanoTime() / 1_000_000;
-        assertThat(server.warmth().isCold(nowMs), is(true));
-        assertThat(server.warmth().isCold(nowMs + 3_300), is(true));
-        assertThat(server.warmth().isCold(nowMs + 3_600), is(false));
-        registry.evacuated(List.of("b"));
-        registry.evacuated(List.of());
-        assertThat("another zone", server.warmth().isCold(nowMs + 3_600), is(false));
+        assertThat(server.warmupState().isCold(nowMs), is(true));
+        assertThat(server.warmupState().isCold(nowMs + 3_300), is(true));
+        assertThat(server.warmupState().isCold(nowMs + 3_600), is(false));
+        registry.setEvacuatedZones(List.of("b"));
+        registry.setEvacuatedZones(List.of());
+        assertThat("another zone", server.warmupState().isCold(nowMs + 3_600), is(false));
     }
 }
--- a/src/test/java/routerfleet/data/ServerTest.java
+++ b/src/test/java/routerfleet/data/ServerTest.java
@@ -13,19 +13,19 @@
 
     /** Guards long prompts: one request that waits for its first event is no sign that the server is dead. */
     @Test
-    void silenceToTwoCountsFromTheSecondRequest() {
-        server.sent(1_000);
+    void silenceWithTwoRequestsCountsFromTheSecondRequest() {
+        server.requestSent(1_000);
         assertThat(server.silentMs(2_500), is(1_500L));
-        assertThat(server.silentToTwoMs(2_500), is(0L));
-        server.sent(2_500);
-        assertThat(server.silentToTwoMs(3_000), is(500L));
-        server.heard(3_100);
+        assertThat(server.silentWithTwoRequestsMs(2_500), is(0L));
+        server.requestSent(2_500);
+        assertThat(server.silentWithTwoRequestsMs(3_000), is(500L));
+        server.bytesReceived(3_100);
         assertThat(server.silentMs(3_200), is(100L));
-        assertThat(server.silentToTwoMs(3_200), is(100L));
-        server.ended();
-        assertThat(server.silentToTwoMs(3_500), is(0L));
+        assertThat(server.silentWithTwoRequestsMs(3_200), is(100L));
+        server.requestEnded();
+        assertThat(server.silentWithTwoRequestsMs(3_500), is(0L));
         assertThat(server.silentMs(3_500), is(400L));
-        server.ended();
+        server.requestEnded();
         assertThat(server.silentMs(3_500), is(0L));
     }
 }
--- a/src/test/java/routerfleet/data/WarmupRateTest.java
+++ b/src/test/java/routerfleet/data/WarmupRateTest.java
@@ -16,7 +16,7 @@
     private static final MathContext DIGITS = new MathContext(40);
     /** Slices that a second touches at most. */
     private static final int SLICES = 11;
-    private static final double[] MOSTS = {5, 7.25, 18.5, 38, 80, 400};
+    private static final double[] BOUNDS = {5, 7.25, 18.5, 38, 80, 400};
 
     /** P(Poisson > most), as the part of all terms that lies beyond it, with forty digits. */
     private static double exactTail(double mean, int most) {
@@ -44,32 +44,32 @@
     }
 
     @Test
-    void theTailIsThatOfPoisson() {
+    void theTailMatchesThePoissonDistribution() {
         for (double mean : new double[] {0.01, 1, 14.7, 60}) {
             for (int most : new int[] {0, 5, 38, 100}) {
                 double exact = exactTail(mean, most);
-                assertThat(WarmupRate.tail(mean, most), is(closeTo(exact, exact * 1e-9 + 1e-300)));
+                assertThat(WarmupRate.poissonTail(mean, most), is(closeTo(exact, exact * 1e-9 + 1e-300)));
             }
         }
     }
 
     @Test
     void theRateIsTheLargestWithinTheBound() {
-        for (double most : MOSTS) {
-            double rate = WarmupRate.of(most);
+        for (double most : BOUNDS) {
+            double rate = WarmupRate.maxRate(most);
             assertThat(exactTail(rate, (int) most), is(lessThanOrEqualTo(1.000001e-7)));
             assertThat(exactTail(rate * 1.001, (int) most), is(greaterThan(1e-7)));
         }
-        assertThat("22 a second, 1.5 times and 5", WarmupRate.of(38), is(closeTo(14.7, 0.2)));
+        assertThat("22 a second, 1.5 times and 5", WarmupRate.maxRate(38), is(closeTo(14.7, 0.2)));
     }
 
     /** A sum of equal trials over any nodes and all slices that a second touches stays below the Poisson tail. */
     @Test
     void noNumberOfNodesExceedsTheBound() {
-        for (double most : MOSTS) {
-            double rate = WarmupRate.of(most);
+        for (double most : BOUNDS) {
+            double rate = WarmupRate.maxRate(most);
             for (int nodes = 1; nodes <= 400; nodes++) {
-                double chance = WarmupRate.chance(rate, nodes);
+                double chance = WarmupRate.permitProbability(rate, nodes);
                 double tail = chance < 1 ? binomialTail(nodes * SLICES, chance, (int) most)
                         : nodes * SLICES > most ? 1 : 0;
                 assertThat(most + " a second, " + nodes + " nodes", tail, is(lessThan(1e-7)));
@@ -79,25 +79,25 @@
 
     /** The margin also covers an eighth more nodes than are known of. */
     @Test
-    void nodesThatAreNotCountedYetAreCovered() {
-        double rate = WarmupRate.of(38);
+    void nodesThatAreNotCountedYetAreAllowedFor() {
+        double rate = WarmupRate.maxRate(38);
         for (int known = 8; known <= 400; known++) {
             int present = known + known / 8;
-            double chance = WarmupRate.chance(rate, known);
+            double chance = WarmupRate.permitProbability(rate, known);
             assertThat(known + " known", binomialTail(present * SLICES, chance, 38), is(lessThan(1e-7)));
         }
     }
 
     @Test
-    void withoutACountOfNodesThereIsNoChance() {
-        assertThat(WarmupRate.chance(14, 0), is(0.0));
-        assertThat(WarmupRate.of(0), is(lessThan(1e-6)));
+    void thereAreNoPermitsWhileTheNodeCountIsUnknown() {
+        assertThat(WarmupRate.permitProbability(14, 0), is(0.0));
+        assertThat(WarmupRate.maxRate(0), is(lessThan(1e-6)));
     }
 
     /** Guards data nodes: a valid configuration with a huge bound must not keep the event loop busy, or for ever. */
     @Test
-    void aHugeBoundCountsAsTheLargestOne() {
-        assertThat(WarmupRate.of(1e300), is(WarmupRate.of(10_000)));
-        assertThat(WarmupRate.of(4e9), is(WarmupRate.of(10_000)));
+    void aHugeBoundIsClampedToTheLargestOne() {
+        assertThat(WarmupRate.maxRate(1e300), is(WarmupRate.maxRate(10_000)));
+        assertThat(WarmupRate.maxRate(4e9), is(WarmupRate.maxRate(10_000)));
     }
 }
--- a/src/test/java/routerfleet/data/ZoneReachTest.java
+++ b/src/test/java/routerfleet/data/ZoneReachabilityTest.java
@@ -12,7 +12,7 @@
 import routerfleet.wire.SessionView;
 
 /** Servers of zones that can't be reached. */
-class ZoneReachTest {
+class ZoneReachabilityTest {
     private static final PromptProfile PROFILE = new PromptProfile("draft", PromptPrefix.NONE, 600);
     private final ServerRegistry registry = new ServerRegistry(1, () -> 1_000_000_000L, "c");
 
@@ -22,7 +22,7 @@
     }
 
     private ServerPool pool() {
-        registry.told("control", new PeerMessage.SessionChanges(1, 1, true, List.of(server("a1", "a"), server("b1", "b"),
+        registry.applySessionChanges("control", new PeerMessage.SessionChanges(1, 1, true, List.of(server("a1", "a"), server("b1", "b"),
                 server("b2", "b"), server("b3", "b"))));
         return registry.pool("llm");
     }
@@ -38,7 +38,7 @@
 
     /** Guards requests on both sides of a partition: each server alone would cost a connect timeout. */
     @Test
-    void aZoneWhoseServersDoNotAnswerConnectsIsLeftAloneAsAWhole() {
+    void aZoneIsAvoidedWhenConnectsToItTimeOut() {
         ServerPool pool = pool();
         find("b1").connectTimedOut(1_000, 1_250);
         find("b2").connectTimedOut(1_000, 1_250);
@@ -51,10 +51,10 @@
 
     /** Guards the zone against servers of it that are gone for themselves. */
     @Test
-    void aZoneWhereAnyServerAnswersIsNotLeftAlone() {
+    void aZoneIsNotAvoidedWhileAnyOfItsServersResponds() {
         pool();
         find("b1").connectTimedOut(1_000, 1_250);
-        find("b3").heard(1_260);
+        find("b3").bytesReceived(1_260);
         find("b2").connectTimedOut(1_100, 1_350);
         assertThat(find("b3").isAvoided(1_360), is(false));
         find("b1").connectTimedOut(1_300, 1_550);
@@ -62,15 +62,15 @@
     }
 
     @Test
-    void afterAPauseOneRequestTriesTheZone() {
+    void oneRequestProbesTheZoneAfterAnInterval() {
         pool();
         find("b1").connectTimedOut(1_000, 1_250);
         find("b2").connectTimedOut(1_000, 1_250);
-        long triedMs = 1_251 + ZoneReach.PAUSE_MS;
+        long triedMs = 1_251 + ZoneReachability.PROBE_INTERVAL_MS;
         assertThat(find("b3").isAvoided(triedMs), is(false));
-        find("b3").sent(triedMs);
+        find("b3").requestSent(triedMs);
         assertThat(find("b3").isAvoided(triedMs + 1), is(true));
-        assertThat("on a new connection", find("b3").takeIdle(triedMs, Long.MAX_VALUE), is(nullValue()));
+        assertThat("on a new connection", find("b3").takeIdleConnection(triedMs, Long.MAX_VALUE), is(nullValue()));
         find("b3").connected(triedMs + 2);
         assertThat(find("b3").isAvoided(triedMs + 3), is(false));
     }
