--- a/src/main/java/rowanplank/balancer/BalancerApi.java
+++ b/src/main/java/rowanplank/balancer/BalancerApi.java
@@ -19,7 +19,7 @@
     enum Effect { REPEATABLE, BY_KEY, ONCE }
 
     /** The servers that drop repeats of one keyed request among themselves. */
-    enum Group { ALL, ZONE, CELL }
+    enum DedupGroup { ALL, ZONE, CELL }
 
     enum Lifecycle { GONE, READY, DRAINING }
 
@@ -47,31 +47,31 @@
      * A server as discovery lists it.
      *
      * @param id opaque; the same at every node and across restarts of the process
-     * @param share rough size against other servers; 1 where nothing is known
+     * @param weight rough size against other servers; 1 where nothing is known
      * @param startedAtMs when the process last started; 0 means long ago
      */
-    record Server(long id, int zone, int cell, Lifecycle lifecycle, double share, double startedAtMs) {
+    record Server(long id, int zone, int cell, Lifecycle lifecycle, double weight, double startedAtMs) {
         public Server {
-            require(share > 0, "server share");
+            require(weight > 0, "server share");
         }
     }
 
     /**
      * A request class.
      *
-     * @param aimMs an answer within this time earns the whole worth
+     * @param targetMs an answer within this time earns the whole worth
      * @param deadlineMs how long a client waits at most
      * @param lateWorth fraction of the worth that a late answer earns
-     * @param windowMs for {@link Effect#BY_KEY}: how long servers remember a key, from the first send that may have run
+     * @param dedupWindowMs for {@link Effect#BY_KEY}: how long servers remember a key, from the first send that may have run
      */
-    record RequestClass(double aimMs, double deadlineMs, double worth, double lateWorth,
-            Effect effect, Group group, double windowMs, boolean streaming) {
+    record RequestClass(double targetMs, double deadlineMs, double worth, double lateWorth,
+            Effect effect, DedupGroup dedupGroup, double dedupWindowMs, boolean streaming) {
         public RequestClass {
-            require(aimMs > 0, "classes[].aim_ms");
-            require(deadlineMs >= aimMs, "classes[].deadline_ms");
+            require(targetMs > 0, "classes[].aim_ms");
+            require(deadlineMs >= targetMs, "classes[].deadline_ms");
             require(worth >= 0, "classes[].worth");
             require(lateWorth >= 0 && lateWorth <= 1, "classes[].late_worth");
-            require(windowMs >= 0, "classes[].window_ms");
+            require(dedupWindowMs >= 0, "classes[].window_ms");
         }
 
         /**
@@ -79,13 +79,13 @@
          *
          * @param mayHaveRun whether an attempt of its request may have had its effect, or may yet
          */
-        public boolean mayBeRefused(boolean mayHaveRun) {
-            return !mayHaveRun || effect == Effect.REPEATABLE || effect == Effect.BY_KEY && group == Group.ALL;
+        public boolean mayBeRejected(boolean mayHaveRun) {
+            return !mayHaveRun || effect == Effect.REPEATABLE || effect == Effect.BY_KEY && dedupGroup == DedupGroup.ALL;
         }
 
         /** How long after the first send that may have run a repeat may begin; the rest is for its way to the server. */
-        public double repeatWithinMs() {
-            return windowMs * 0.9;
+        public double retryWindowMs() {
+            return dedupWindowMs * 0.9;
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** What the site permits. */
-    record Limits(int maxAttempts, boolean cancel, boolean secondCopies, double maxRetryAfterMs) {
+    record Limits(int maxAttempts, boolean cancel, boolean hedging, double maxRetryAfterMs) {
         public Limits {
             require(maxAttempts >= 1, "ceilings.most_tries");
             require(maxRetryAfterMs >= 0, "ceilings.max_retry_after_ms");
@@ -105,12 +105,12 @@
     }
 
     /** The figures of the rules on drains and cold servers. */
-    record Rules(double askWithinMs, double coldFrom, double coldMs, double fallMultiple) {
+    record Rules(double pollWithinMs, double initialCapacity, double warmupMs, double overloadMultiple) {
         public Rules {
-            require(askWithinMs > 0, "rules.ask_within_ms");
-            require(coldFrom > 0 && coldFrom <= 1, "rules.cold_from");
-            require(coldMs >= 0, "rules.cold_ms");
-            require(fallMultiple > 0, "rules.fall_multiple");
+            require(pollWithinMs > 0, "rules.ask_within_ms");
+            require(initialCapacity > 0 && initialCapacity <= 1, "rules.cold_from");
+            require(warmupMs >= 0, "rules.cold_ms");
+            require(overloadMultiple > 0, "rules.fall_multiple");
         }
     }
 
@@ -120,13 +120,13 @@
      * @param nodes how many instances serve this tier
      * @param node this instance's number among them, from 0
      * @param zone the instance's own zone
-     * @param askForList whether the server list comes only when asked for
-     * @param crossingPrice what is lost if every request crosses zones once, as a part of all worth; 0 for none
+     * @param requestList whether the server list comes only when asked for
+     * @param crossZoneCost what is lost if every request crosses zones once, as a part of all worth; 0 for none
      */
     record Settings(int nodes, int node, int zone, List<RequestClass> classes, List<Tenant> tenants, double overShareWorth,
-            Limits limits, Rules rules, boolean askForList, boolean warmKeys, boolean worthByWork, double crossingPrice) {
+            Limits limits, Rules rules, boolean requestList, boolean keyAffinity, boolean worthPerWork, double crossZoneCost) {
         public Settings {
-            require(crossingPrice >= 0, "deductions.cross_zone");
+            require(crossZoneCost >= 0, "deductions.cross_zone");
             require(nodes >= 1, "balancers");
             require(node >= 0 && node < nodes, "position");
             require(zone >= 0, "zone");
@@ -143,10 +143,10 @@
      * @param key requests with equal keys concern the same thing; 0 means none
      * @param deadlineMs clock time at which the client gives this try up
      * @param costMs expected work, or 0 where nothing is known
-     * @param repeat the client has tried before
+     * @param clientRetry the client has tried before
      */
     record Request(long id, int classIndex, int tenant, long key, double deadlineMs, double costMs,
-            boolean repeat) { }
+            boolean clientRetry) { }
 
     /**
      * What the node tells the balancer. Unknown, late and repeated outcomes, departures and timers are ignored; a
@@ -170,7 +170,7 @@
                 boolean concluded);
 
         /** The client has left; nothing is owed any more. */
-        void onDeparture(double nowMs, long request);
+        void onClientLeft(double nowMs, long request);
 
         void onTimer(double nowMs, long token);
     }
@@ -181,7 +181,7 @@
         void send(long request, long server, double timeoutMs);
 
         /** Final: not served, and trying again is harmless. */
-        void refuse(long request, double retryAfterMs);
+        void reject(long request, double retryAfterMs);
 
         /** Final: not served, nothing promised. */
         void fail(long request);
@@ -199,12 +199,12 @@
          * How many tries may be out at a server at once, where that is a part of the fleet's bound and not the module's own
          * choice; below zero where it is. It is asked at every choice, and answers at once.
          */
-        default double places(long server) {
+        default double slotLimit(long server) {
             return -1;
         }
 
         /** Whether a try beyond a request's first may begin now; where not, it is answered as if none were left to it. */
-        default boolean mayTryAgain() {
+        default boolean mayRetry() {
             return true;
         }
 
--- a/src/main/java/rowanplank/balancer/NodeState.java
+++ b/src/main/java/rowanplank/balancer/NodeState.java
@@ -12,90 +12,90 @@
     private NodeState() { }
 
     /** A server as this node sees it. */
-    static final class Target {
-        Server listed;
+    static final class ServerState {
+        Server server;
         /** Its neuron in each class's network; null while it is not ready. */
         Neuron[] neurons;
-        final Limit limit;
+        final ConcurrencyLimit limit;
         double failureRate;
         boolean ejected;
         /** Its last failure was a connection that could not be made. */
         boolean unreachable;
-        boolean trialOut;
-        double trialAt;
+        boolean probePending;
+        double nextProbeAt;
         double ejectionMs;
         double lastHeardAt;
         /** When something was last sent to it, or when it came. */
-        double sentAt;
+        double lastSentAt;
 
-        Target(Server listed, Limit limit) {
-            this.listed = listed;
+        ServerState(Server listed, ConcurrencyLimit limit) {
+            this.server = listed;
             this.limit = limit;
         }
 
         String name() {
-            return "server " + Long.toHexString(listed.id());
+            return "server " + Long.toHexString(server.id());
         }
     }
 
     /** How many requests may be in flight at a server. */
-    static final class Limit {
+    static final class ConcurrencyLimit {
         /** Part that is left of the first limit. */
-        double part = 1;
+        double fraction = 1;
         /** The limit as of the last request. */
-        double places;
+        double slots;
         int inFlight;
         /** Running mean of latencies as parts of their aims. */
         double slowness;
         /** Latency of the last answer: how long a place is taken. */
-        double lastMs;
-        int answers;
-        double cutAt;
+        double lastLatencyMs;
+        int samples;
+        double reducedAt;
         /** How far the next use of the broken place is due: 1 when it is. */
         double credit = 1;
         /** When this was brought up to date. */
-        double at;
+        double updatedAt;
         /** Until then nothing is sent; set while the server is cold. */
-        double restsUntil;
+        double pausedUntil;
 
-        Limit(double lastMs, double at) {
-            this.lastMs = lastMs;
-            this.at = at;
+        ConcurrencyLimit(double lastMs, double at) {
+            this.lastLatencyMs = lastMs;
+            this.updatedAt = at;
         }
     }
 
     /** One send of a request. */
     static final class Attempt {
-        final Target target;
+        final ServerState server;
         final double sentAt;
-        final boolean trial;
+        final boolean probe;
         boolean pending = true;
         /** Given up by this node; its outcome is still to come. */
         boolean withdrawn;
         boolean neverRan;
 
-        Attempt(Target target, double sentAt, boolean trial) {
-            this.target = target;
+        Attempt(ServerState target, double sentAt, boolean trial) {
+            this.server = target;
             this.sentAt = sentAt;
-            this.trial = trial;
+            this.probe = trial;
         }
     }
 
     /** A request that is owed an answer, or whose attempts are still out. */
-    static final class Open {
+    static final class OpenRequest {
         final Request request;
         final RequestClass type;
         final double arrivedAt;
         final List<Attempt> attempts = new ArrayList<>(2);
         /** What is left of its class's worth: less for a repeat and beyond its tenant's share. */
-        double rank;
+        double priority;
         double worthDensity;
-        boolean held;
+        boolean queued;
         boolean streaming;
         /** It has had its final answer. */
-        boolean done;
+        boolean ended;
 
-        Open(Request request, RequestClass type, double arrivedAt) {
+        OpenRequest(Request request, RequestClass type, double arrivedAt) {
             this.request = request;
             this.type = type;
             this.arrivedAt = arrivedAt;
--- a/src/main/java/rowanplank/config/SettingsReader.java
+++ b/src/main/java/rowanplank/config/SettingsReader.java
@@ -14,8 +14,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.RequestClass;
 import rowanplank.balancer.BalancerApi.Rules;
@@ -93,10 +93,10 @@
             case "once" -> Effect.ONCE;
             default -> throw new IllegalArgumentException("setting out of range: classes[].effect");
         };
-        Group group = switch (string(c, "group", "all")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+        DedupGroup group = switch (string(c, "group", "all")) {
+            case "all" -> DedupGroup.ALL;
+            case "zone" -> DedupGroup.ZONE;
+            case "cell" -> DedupGroup.CELL;
             default -> throw new IllegalArgumentException("setting out of range: classes[].group");
         };
         return new RequestClass(number(c, "aim_ms", 0), number(c, "deadline_ms", 0), number(c, "worth", 1),
--- a/src/main/java/rowanplank/decision/DecisionDriver.java
+++ b/src/main/java/rowanplank/decision/DecisionDriver.java
@@ -179,7 +179,7 @@
 
     /** A refusal says that asking again does no harm: it would, where what may have run must not run twice. */
     private Response unservedResponse(Exchange exchange) {
-        return requestClass(exchange).mayBeRefused(exchange.mayHaveRun()) ? new Response.Rejected(site.retryAfter(STOPPING_RETRY_AFTER)) : new Response.Failed();
+        return requestClass(exchange).mayBeRejected(exchange.mayHaveRun()) ? new Response.Rejected(site.retryAfter(STOPPING_RETRY_AFTER)) : new Response.Failed();
     }
 
     private RequestClass requestClass(Exchange exchange) {
@@ -190,13 +190,13 @@
     private Instant startDeadline(Exchange exchange) {
         RequestClass type = requestClass(exchange);
         return exchange.mayHaveRunSince() == null || type.effect() != Effect.BY_KEY ? exchange.deadline()
-                : exchange.mayHaveRunSince().plus(Clock.span(type.repeatWithinMs()));
+                : exchange.mayHaveRunSince().plus(Clock.span(type.retryWindowMs()));
     }
 
     private void abandon(OpenRequest entry, Response answer) {
         long number = entry.exchange.number();
         if (respond(entry, answer)) {
-            deliver(() -> balancer.onDeparture(nowMs(), number));
+            deliver(() -> balancer.onClientLeft(nowMs(), number));
         }
     }
 
@@ -278,7 +278,7 @@
         counters.add(Count.CLIENTS_DEPARTED);
         deliver(() -> {
             cancelUnsent(exchange);
-            balancer.onDeparture(nowMs(), exchange.number());
+            balancer.onClientLeft(nowMs(), exchange.number());
             OpenRequest entry = openRequests.get(exchange.number());
             if (entry != null) {
                 removeIfFinished(entry);
@@ -381,7 +381,7 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             answer(request, new Response.Rejected(site.retryAfter(Clock.span(retryAfterMs))));
         }
 
@@ -412,12 +412,12 @@
         }
 
         @Override
-        public double places(long server) {
+        public double slotLimit(long server) {
             return slots.limit(server);
         }
 
         @Override
-        public boolean mayTryAgain() {
+        public boolean mayRetry() {
             return fleetLimits.mayRetry();
         }
 
--- a/src/main/java/rowanplank/discovery/DiscoveryWatch.java
+++ b/src/main/java/rowanplank/discovery/DiscoveryWatch.java
@@ -70,7 +70,7 @@
         this.address = address;
         zones = site.zones();
         connectTimeout = site.connectTimeout().compareTo(LONGEST_CONNECT) < 0 ? site.connectTimeout() : LONGEST_CONNECT;
-        pace = new AskingPace(site.module().nodes(), !site.module().askForList(), seed);
+        pace = new AskingPace(site.module().nodes(), !site.module().requestList(), seed);
         this.revision = revision;
         this.loop = loop;
         this.counters = counters;
--- a/src/main/java/rowanplank/fleet/PlaceKeeper.java
+++ b/src/main/java/rowanplank/fleet/PlaceKeeper.java
@@ -194,7 +194,7 @@
                 Place listedNow = places.computeIfAbsent(s.id(), id -> new Place(id, s.zone() == site.zone(), lot(id)));
                 listedNow.gone = false;
                 listedNow.coldUntil = config.cold() == 0 || s.startedAtMs() == 0 ? null
-                        : Instant.ofEpochMilli((long) Math.ceil(s.startedAtMs() + site.rules().coldMs()));
+                        : Instant.ofEpochMilli((long) Math.ceil(s.startedAtMs() + site.rules().warmupMs()));
             } else if (p != null) {
                 p.gone = true;
             }
--- a/src/main/java/rowanplank/lab/policy/Carrier.java
+++ b/src/main/java/rowanplank/lab/policy/Carrier.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.Events;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.ListKind;
 import rowanplank.balancer.BalancerApi.Outcome;
@@ -84,7 +84,7 @@
         holds = handling.holds();
         ejection = handling.ejection().apply(random.nextLong());
         budget = retries.budget().get();
-        if (settings.askForList()) {
+        if (settings.requestList()) {
             actions.watchServers();
         }
     }
@@ -92,8 +92,8 @@
     @Override
     public void onServers(double nowMs, ListKind kind, List<Server> servers) {
         if (kind == ListKind.FAILED) {
-            if (settings.askForList()) {
-                actions.timer(settings.rules().askWithinMs() / 4, ASK_AGAIN);
+            if (settings.requestList()) {
+                actions.timer(settings.rules().pollWithinMs() / 4, ASK_AGAIN);
             }
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void onDeparture(double nowMs, long request) {
+    public void onClientLeft(double nowMs, long request) {
         Open r = open.get(request);
         if (r != null && !r.done) {
             end(r);
@@ -206,7 +206,7 @@
         Server server = candidates.isEmpty() ? null : choice.choose(nowMs, r.request, candidates);
         if (server != null) {
             send(nowMs, r, server);
-        } else if (!candidates.isEmpty() && nowMs < r.arrivedAt + holds * r.type.aimMs()) {
+        } else if (!candidates.isEmpty() && nowMs < r.arrivedAt + holds * r.type.targetMs()) {
             held.add(r);
         } else {
             answer(r);
@@ -253,9 +253,9 @@
 
     private void answer(Open r) {
         boolean harmless = !r.ranMaybe && r.at == null || r.type.effect() == Effect.REPEATABLE
-                || r.type.effect() == Effect.BY_KEY && r.type.group() == Group.ALL;
+                || r.type.effect() == Effect.BY_KEY && r.type.dedupGroup() == DedupGroup.ALL;
         if (harmless) {
-            actions.refuse(r.request.id(), 0);
+            actions.reject(r.request.id(), 0);
         } else {
             actions.fail(r.request.id());
         }
--- a/src/main/java/rowanplank/lab/policy/Omniscient.java
+++ b/src/main/java/rowanplank/lab/policy/Omniscient.java
@@ -35,7 +35,7 @@
 
     @Override
     public Server choose(double nowMs, Request request, List<Server> candidates) {
-        double aim = settings.classes().get(request.classIndex()).aimMs();
+        double aim = settings.classes().get(request.classIndex()).targetMs();
         Server first = null;
         double firstMs = Math.min(aim, request.deadlineMs() - nowMs);
         Server nearest = null;
--- a/src/main/java/rowanplank/lab/policy/Prequal.java
+++ b/src/main/java/rowanplank/lab/policy/Prequal.java
@@ -77,7 +77,7 @@
         if (ownServers) {
             pool.add(nowMs, server, crowd.inFlight(), Math.max(0, crowd.latencyMs()));
         } else if (report.queue() >= 0 && report.utilisation() >= 0 && report.latencyMs() >= 0) {
-            pool.add(nowMs, server, report.queue() + report.utilisation() * known.share(), report.latencyMs());
+            pool.add(nowMs, server, report.queue() + report.utilisation() * known.weight(), report.latencyMs());
         }
     }
 
--- a/src/main/java/rowanplank/lab/trial/VirtualFleet.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualFleet.java
@@ -40,7 +40,7 @@
     private static final int MOST_PLACES = 200;
     /** One hall, one class of requests. */
     private static final BalancerApi.Settings SITE = new BalancerApi.Settings(1, 0, 0, List.of(new BalancerApi.RequestClass(400,
-            1200, 1, 0.2, BalancerApi.Effect.REPEATABLE, BalancerApi.Group.ALL, 0, false)), List.of(), 0.1,
+            1200, 1, 0.2, BalancerApi.Effect.REPEATABLE, BalancerApi.DedupGroup.ALL, 0, false)), List.of(), 0.1,
             new BalancerApi.Limits(3, true, true, 1000), new BalancerApi.Rules(10_000, 0.14, 24_000, 3), true, false, false, 0);
     private static final Duration USED_EACH = Duration.ofSeconds(1);
     private static final Duration USED_FOR = Duration.ofMillis(50);
--- a/src/main/java/rowanplank/node/WarmUp.java
+++ b/src/main/java/rowanplank/node/WarmUp.java
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void refuse(long request, double retryAfterMs) { }
+    public void reject(long request, double retryAfterMs) { }
 
     @Override
     public void fail(long request) { }
--- a/src/main/java/rowanplank/simhost/ReplyWriter.java
+++ b/src/main/java/rowanplank/simhost/ReplyWriter.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void refuse(long request, double retryAfterMs) {
+    public void reject(long request, double retryAfterMs) {
         int at = record(REFUSE);
         records.putLong(at + 6, request).putDouble(at + 14, retryAfterMs);
     }
--- a/src/main/java/rowanplank/simhost/Simhost.java
+++ b/src/main/java/rowanplank/simhost/Simhost.java
@@ -98,7 +98,7 @@
             case EventReader.OUTCOME -> balancer.onOutcome(now, e.requestId(), e.attempt(), e.outcome(),
                     e.latency(), e.concluded());
             case EventReader.PROBED, EventReader.PEER -> { } // answers to actions that the module never takes
-            case EventReader.GONE -> balancer.onDeparture(now, e.requestId());
+            case EventReader.GONE -> balancer.onClientLeft(now, e.requestId());
             case EventReader.TIMER -> balancer.onTimer(now, e.token());
             default -> throw new MalformedFrameException("unknown event code " + e.code());
         }
--- a/src/test/java/rowanplank/balancer/BalancerTest.java
+++ b/src/test/java/rowanplank/balancer/BalancerTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -41,7 +41,7 @@
         h.request(1, CLASS, h.now);
         assertEquals(List.of(1L), h.refused);
         assertTrue(h.lastRetryAfter > 0, "a client that heeds it must be told when to come back");
-        assertTrue(h.lastRetryAfter <= Harness.SAFE.aimMs() / 4, "a repeat must be able to come in time");
+        assertTrue(h.lastRetryAfter <= Harness.SAFE.targetMs() / 4, "a repeat must be able to come in time");
         assertTrue(h.sent.isEmpty());
     }
 
@@ -240,7 +240,7 @@
         Harness h = new Harness(Harness.settings(1, Harness.LIMITS, Harness.SAFE)).servers(2);
         h.list(ListKind.DELTA, List.of(Harness.server(9, Lifecycle.READY, h.now)));
         assertTrue(mostHeldBy(h, 9, 1) <= 1);
-        h.advance(Harness.RULES.coldMs());
+        h.advance(Harness.RULES.warmupMs());
         assertTrue(mostHeldBy(h, 9, 100) >= 2);
     }
 
@@ -556,7 +556,7 @@
 
     @Test
     void aKeyedRequestIsNotSentAgainOnceItsWindowHasPassed() {
-        var type = new BalancerApi.RequestClass(400, 6000, 2, 0.2, Effect.BY_KEY, Group.ALL, 500, false);
+        var type = new BalancerApi.RequestClass(400, 6000, 2, 0.2, Effect.BY_KEY, DedupGroup.ALL, 500, false);
         Harness h = new Harness(Harness.settings(3, new Limits(3, true, false, 1000), type)).servers(4);
         h.request(1, CLASS);
         h.advance(600);
@@ -703,7 +703,7 @@
         h.outcome(s, Outcome.OK);
         h.balancer.onOutcome(h.now, 1, 0, Outcome.ERROR, 5, true);
         h.balancer.onOutcome(h.now, 99, 0, Outcome.OK, 5, true);
-        h.balancer.onDeparture(h.now, 99);
+        h.balancer.onClientLeft(h.now, 99);
         h.balancer.onStreamStarted(h.now, 99, 0);
         h.balancer.onTimer(h.now, 77);
         assertEquals(1, h.sent.size());
@@ -746,7 +746,7 @@
         }
         h.request(200, CLASS);
         Harness.Sent stuck = h.last();
-        h.advance(Harness.SAFE.aimMs() * 0.6);
+        h.advance(Harness.SAFE.targetMs() * 0.6);
         assertEquals(1, h.cancelled.size());
         h.outcome(stuck, Outcome.CANCELLED);
         assertEquals(200, h.last().request());
@@ -764,10 +764,10 @@
         }
         requests(h, 201, 204);
         List<Harness.Sent> stuck = h.pending();
-        h.advance(Harness.SAFE.aimMs() * 0.4);
+        h.advance(Harness.SAFE.targetMs() * 0.4);
         h.request(205, CLASS);
         assertEquals(0, h.attempts(205), "there is no room");
-        h.advance(Harness.SAFE.aimMs() * 0.2);
+        h.advance(Harness.SAFE.targetMs() * 0.2);
         assertEquals(List.of("201/0", "202/0", "203/0", "204/0"), h.cancelled);
         h.outcome(stuck.get(0), Outcome.CANCELLED);
         assertEquals(1, h.attempts(205));
--- a/src/test/java/rowanplank/balancer/ColdCrossingsTest.java
+++ b/src/test/java/rowanplank/balancer/ColdCrossingsTest.java
@@ -60,7 +60,7 @@
         for (Outcome how : new Outcome[] {Outcome.RESET, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED}) {
             Harness h = warm();
             starts(h);
-            h.advance(Harness.RULES.coldMs() / 2);
+            h.advance(Harness.RULES.warmupMs() / 2);
             ask(h, 10, 3);
             assertEquals(2, h.pending().size(), "places of a server that is half warm");
             h.advance(5);
@@ -81,7 +81,7 @@
     void aWithdrawnTryTakesAPlaceForAsLongAsAnAnswerDoes() {
         Harness h = warm();
         starts(h);
-        h.advance(Harness.RULES.coldMs() / 2);
+        h.advance(Harness.RULES.warmupMs() / 2);
         ask(h, 10, 3);
         Sent left = h.last();
         int before = h.sent.size();
--- a/src/test/java/rowanplank/balancer/ColdFleet.java
+++ b/src/test/java/rowanplank/balancer/ColdFleet.java
@@ -9,8 +9,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -137,8 +137,8 @@
 
     private Settings settings(int node) {
         double aim = 8 * plan.workMs();
-        RequestClass common = new RequestClass(aim, 2.5 * aim, 2, 0.25, Effect.REPEATABLE, Group.ALL, 0, false);
-        RequestClass rare = new RequestClass(2 * aim, 5 * aim, 6, 0.25, Effect.REPEATABLE, Group.ALL, 0, false);
+        RequestClass common = new RequestClass(aim, 2.5 * aim, 2, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
+        RequestClass rare = new RequestClass(2 * aim, 5 * aim, 6, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
         int of = plan.fault() == Fault.RAMP_OF_ONE ? 1 : plan.nodes();
         return new Settings(of, node % of, node % ZONES, List.of(common, rare), List.of(), 0.1,
                 new Limits(6, true, false, 1000), RULES, false, false, false, 0.08);
@@ -192,14 +192,14 @@
             a.outAt = now;
             double sentAt = now;
             double work = WORK[a.type] * (0.7 + 0.6 * random.nextDouble());
-            boolean isCold = m.counter != null && now - m.startedAt < RULES.coldMs();
+            boolean isCold = m.counter != null && now - m.startedAt < RULES.warmupMs();
             if (isCold) {
                 m.counter.came(now, work, told.getOrDefault(server, -1.0) == m.startedAt);
             }
             boolean down = m.counter != null && m.counter.fallen;
             Cold how = down ? Cold.IS_SILENT : isCold ? plan.cold() : Cold.SERVES;
             boolean fails = how == Cold.FAILS || how == Cold.SERVES && !isCold && random.nextDouble() < plan.failing();
-            double least = 0.12 + 0.88 * (now - m.startedAt) / RULES.coldMs();
+            double least = 0.12 + 0.88 * (now - m.startedAt) / RULES.warmupMs();
             double warm = isCold ? Math.min(1, least) : 1;
             double takes = work * plan.workMs() / warm * Math.max(1, ++m.held / (double) CORES);
             double start = m.startedAt;
@@ -225,7 +225,7 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             open.get(request).ended = true;
         }
 
@@ -282,7 +282,7 @@
         m.startedAt = now;
         m.held = 0;
         double warmRate = CORES / plan.workMs();
-        m.counter = new FallCounter(new FallCounter.Terms(RULES.coldFrom(), RULES.coldMs(), RULES.fallMultiple(), FALL_MS,
+        m.counter = new FallCounter(new FallCounter.Terms(RULES.initialCapacity(), RULES.warmupMs(), RULES.overloadMultiple(), FALL_MS,
                 warmRate), now);
         starts.add(m.counter);
         for (Node node : nodes) {
--- a/src/test/java/rowanplank/balancer/EmbeddingExample.java
+++ b/src/test/java/rowanplank/balancer/EmbeddingExample.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -26,7 +26,7 @@
                 asked.add("send " + request + " to " + server);
             }
 
-            public void refuse(long request, double retryAfterMs) {
+            public void reject(long request, double retryAfterMs) {
                 asked.add("refuse " + request);
             }
 
@@ -54,7 +54,7 @@
                 asked.add(line);
             }
         };
-        RequestClass reads = new RequestClass(400, 1200, 1, 0.2, Effect.REPEATABLE, Group.ALL, 0, false);
+        RequestClass reads = new RequestClass(400, 1200, 1, 0.2, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
         Settings settings = new Settings(3, 0, 0, List.of(reads), List.of(), 0.1,
                 new Limits(3, true, true, 1000),
                 new Rules(10_000, 0.14, 24_000, 3), true, false, false, 0);
--- a/src/test/java/rowanplank/balancer/Harness.java
+++ b/src/test/java/rowanplank/balancer/Harness.java
@@ -13,8 +13,8 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -29,9 +29,9 @@
 final class Harness implements Actions {
     static final Limits LIMITS = new Limits(3, true, true, 1000);
     static final Rules RULES = new Rules(10_000, 0.14, 24_000, 3);
-    static final RequestClass SAFE = type(Effect.REPEATABLE, Group.ALL);
-    static final RequestClass UNSAFE = type(Effect.ONCE, Group.ALL);
-    static final RequestClass KEYED = type(Effect.BY_KEY, Group.ALL);
+    static final RequestClass SAFE = type(Effect.REPEATABLE, DedupGroup.ALL);
+    static final RequestClass UNSAFE = type(Effect.ONCE, DedupGroup.ALL);
+    static final RequestClass KEYED = type(Effect.BY_KEY, DedupGroup.ALL);
 
     record Sent(long request, int attempt, long server, double at) { }
 
@@ -80,7 +80,7 @@
         balancer = new Balancer(settings, seed, this);
     }
 
-    static RequestClass type(Effect effect, Group group) {
+    static RequestClass type(Effect effect, DedupGroup group) {
         return new RequestClass(400, 1200, 2, 0.2, effect, group, 2000, false);
     }
 
@@ -152,7 +152,7 @@
 
     void departure(long id) {
         requests.get(id).ended = true;
-        balancer.onDeparture(now, id);
+        balancer.onClientLeft(now, id);
     }
 
     /** Lets time pass, with timers and with time-outs at the deadlines. */
@@ -205,14 +205,14 @@
         Sent first = null;
         for (Sent s : r.attempts) {
             Outcome o = r.outcomes.get(s.attempt());
-            assertTrue(settings.limits().secondCopies() || o != null, "a second copy where none is allowed");
+            assertTrue(settings.limits().hedging() || o != null, "a second copy where none is allowed");
             first = first == null && (o == null || !o.neverRan()) ? s : first;
         }
         if (first != null) {
             assertTrue(r.type.effect() != Effect.ONCE, "an unsafe request that may have run was sent again");
             if (r.type.effect() == Effect.BY_KEY) {
-                assertTrue(now - first.at() <= r.type.windowMs(), "a keyed request sent outside its window");
-                assertTrue(sameGroup(r.type.group(), first.server(), server), "a keyed request left its group");
+                assertTrue(now - first.at() <= r.type.dedupWindowMs(), "a keyed request sent outside its window");
+                assertTrue(sameGroup(r.type.dedupGroup(), first.server(), server), "a keyed request left its group");
             }
         }
         Sent s = new Sent(request, r.attempts.size(), server, now);
@@ -221,7 +221,7 @@
         pending.add(s);
     }
 
-    private boolean sameGroup(Group group, long a, long b) {
+    private boolean sameGroup(DedupGroup group, long a, long b) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> a % 3 == b % 3;
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void refuse(long request, double retryAfterMs) {
+    public void reject(long request, double retryAfterMs) {
         lastRetryAfter = retryAfterMs;
         Tracked r = requests.get(request);
         assertFalse(r.ended, "answered twice");
@@ -239,7 +239,7 @@
             return o == null || !o.neverRan();
         });
         assertTrue(!mayHaveRun || r.type.effect() == Effect.REPEATABLE
-                || r.type.effect() == Effect.BY_KEY && r.type.group() == Group.ALL, "an unsafe refusal");
+                || r.type.effect() == Effect.BY_KEY && r.type.dedupGroup() == DedupGroup.ALL, "an unsafe refusal");
         r.ended = true;
         refused.add(request);
     }
--- a/src/test/java/rowanplank/balancer/Inside.java
+++ b/src/test/java/rowanplank/balancer/Inside.java
@@ -6,6 +6,6 @@
 
     /** Tries that it holds to be out, at all servers that it may choose. */
     public static int inFlight(Balancer balancer) {
-        return balancer.ready().stream().mapToInt(t -> t.limit.inFlight).sum();
+        return balancer.readyServers().stream().mapToInt(t -> t.limit.inFlight).sum();
     }
 }
--- a/src/test/java/rowanplank/balancer/MiniSite.java
+++ b/src/test/java/rowanplank/balancer/MiniSite.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.Events;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -105,8 +105,8 @@
     }
 
     static RequestClass[] classes() {
-        return new RequestClass[] {new RequestClass(AIM, 1700, 2, 0.25, Effect.REPEATABLE, Group.ALL, 0, false),
-            new RequestClass(1600, 4000, 6, 0.25, Effect.REPEATABLE, Group.ALL, 0, false)};
+        return new RequestClass[] {new RequestClass(AIM, 1700, 2, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false),
+            new RequestClass(1600, 4000, 6, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false)};
     }
 
     private Settings settings(int node) {
@@ -161,14 +161,14 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             refused += open.get(request).ended ? 0 : 1;
             open.get(request).ended = true;
         }
 
         @Override
         public void fail(long request) {
-            refuse(request, 0);
+            reject(request, 0);
         }
 
         @Override
--- a/src/test/java/rowanplank/balancer/ModuleRulesTest.java
+++ b/src/test/java/rowanplank/balancer/ModuleRulesTest.java
@@ -20,7 +20,7 @@
 import rowanplank.balancer.BalancerApi.Actions;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.Events;
-import rowanplank.balancer.BalancerApi.Group;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -31,7 +31,7 @@
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.balancer.BalancerApi.Settings;
 import rowanplank.neural.Neuron;
-import rowanplank.balancer.NodeState.Target;
+import rowanplank.balancer.NodeState.ServerState;
 
 /**
  * The rules of the brief as properties of the module, over sequences of events drawn from fixed seeds: legal ones, and
@@ -114,7 +114,7 @@
         Play(long seed, Broken how) {
             this.how = how;
             random = new SplittableRandom(seed);
-            RequestClass once = new RequestClass(400, 1200, 2, 0.2, Effect.ONCE, Group.ALL, 0, false);
+            RequestClass once = new RequestClass(400, 1200, 2, 0.2, Effect.ONCE, DedupGroup.ALL, 0, false);
             settings = new Settings(1 + random.nextInt(4), 0, 0, List.of(MiniSite.classes()[0], MiniSite.classes()[1],
                     once), List.of(), 0.1, new Limits(6, true, false, 1000), new Rules(10_000, 0.12, 24_000, 2.5), false,
                     false, false, random.nextInt(2) * 0.08);
@@ -141,7 +141,7 @@
             }
             servers.forEach(s -> told.put(s.id(), s));
             List<Server> heard = how != Broken.HEARS_NO_DRAIN ? servers : servers.stream().map(s ->
-                    new Server(s.id(), s.zone(), s.cell(), Lifecycle.READY, s.share(), s.startedAtMs())).toList();
+                    new Server(s.id(), s.zone(), s.cell(), Lifecycle.READY, s.weight(), s.startedAtMs())).toList();
             balancer.onServers(now, kind, heard);
             check();
         }
@@ -176,14 +176,14 @@
             }
             balancer.onOutcome(now, 1_000_000 + random.nextInt(9), 0, Outcome.OK, 5, true);
             balancer.onOutcome(now, 1 + random.nextInt(9), 99, Outcome.OK, 5, false);
-            balancer.onDeparture(now, 1_000_000);
+            balancer.onClientLeft(now, 1_000_000);
             balancer.onTimer(now, 77);
             check();
         }
 
         void depart(long id) {
             asked.get(id).ended = true;
-            balancer.onDeparture(now, id);
+            balancer.onClientLeft(now, id);
             check();
         }
 
@@ -232,7 +232,7 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             if (how == Broken.FORGETS_REFUSALS && now(5)) {
                 return;
             }
@@ -302,16 +302,16 @@
                 if (now > a.deadline + SLACK_MS) {
                     breaks(Rule.FINAL_ANSWER, e.getKey() + " has no answer");
                 }
-                double most = a.tries > 0 ? a.type.aimMs() : (a.deadline - a.arrived) / 2;
+                double most = a.tries > 0 ? a.type.targetMs() : (a.deadline - a.arrived) / 2;
                 if (!a.out && (a.tries >= 6 || now > a.arrived + Math.max(0, most) + TICK_MS)) {
                     breaks(Rule.AT_ONCE, e.getKey() + " waits after " + a.tries + " tries, " + (now - a.arrived) + " ms");
                 }
             }
-            for (Target t : balancer.ready()) {
-                long there = out.stream().filter(o -> o.server().id() == t.listed.id()
-                        && o.server().startedAtMs() >= t.listed.startedAtMs()).count();
+            for (ServerState t : balancer.readyServers()) {
+                long there = out.stream().filter(o -> o.server().id() == t.server.id()
+                        && o.server().startedAtMs() >= t.server.startedAtMs()).count();
                 if (t.limit.inFlight != there) {
-                    breaks(Rule.COUNTS, t.limit.inFlight + " counted at " + t.listed.id() + ", out " + there);
+                    breaks(Rule.COUNTS, t.limit.inFlight + " counted at " + t.server.id() + ", out " + there);
                 }
                 for (Neuron n : t.neurons) {
                     if (!(n.quality() > 0 && n.quality() <= 1)) {
--- a/src/test/java/rowanplank/balancer/RandomRunTest.java
+++ b/src/test/java/rowanplank/balancer/RandomRunTest.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -41,8 +41,8 @@
     }
 
     private static Settings settings(SplittableRandom random) {
-        RequestClass cell = Harness.type(Effect.BY_KEY, Group.CELL);
-        RequestClass zone = Harness.type(Effect.BY_KEY, Group.ZONE);
+        RequestClass cell = Harness.type(Effect.BY_KEY, DedupGroup.CELL);
+        RequestClass zone = Harness.type(Effect.BY_KEY, DedupGroup.ZONE);
         Limits limits = new Limits(1 + random.nextInt(4), random.nextBoolean(), random.nextBoolean(), 1000);
         return new Settings(3, 0, 0, List.of(Harness.SAFE, Harness.UNSAFE, Harness.KEYED, cell, zone), List.of(), 0.1,
                 limits, Harness.RULES, false, true, false, 0);
--- a/src/test/java/rowanplank/balancer/SameChoicesTest.java
+++ b/src/test/java/rowanplank/balancer/SameChoicesTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.Events;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -58,7 +58,7 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             asked("refuse " + request + " " + retryAfterMs);
             ended.set((int) request);
         }
@@ -193,7 +193,7 @@
         if (id % 37 == 0) {
             at(time + random.nextInt(300), () -> {
                 ended.set(id);
-                return m -> m.onDeparture(now, id);
+                return m -> m.onClientLeft(now, id);
             });
         }
         if (id % 41 == 0) {
@@ -215,7 +215,7 @@
 
     private Settings settings() {
         List<RequestClass> classes = List.of(Harness.SAFE, Harness.UNSAFE, Harness.KEYED,
-                Harness.type(Effect.BY_KEY, Group.CELL), Harness.type(Effect.BY_KEY, Group.ZONE));
+                Harness.type(Effect.BY_KEY, DedupGroup.CELL), Harness.type(Effect.BY_KEY, DedupGroup.ZONE));
         Limits limits = new Limits(1 + random.nextInt(5), random.nextInt(4) > 0, random.nextBoolean(), 1000);
         int nodes = 1 + random.nextInt(3); // with more, each uses a part of the servers: SubsetTest
         return new Settings(nodes, random.nextInt(nodes), random.nextInt(3), classes,
--- a/src/test/java/rowanplank/cli/SoakNode.java
+++ b/src/test/java/rowanplank/cli/SoakNode.java
@@ -57,8 +57,8 @@
         }
 
         @Override
-        public void onDeparture(double nowMs, long request) {
-            time(() -> module.onDeparture(nowMs, request));
+        public void onClientLeft(double nowMs, long request) {
+            time(() -> module.onClientLeft(nowMs, request));
         }
 
         @Override
--- a/src/test/java/rowanplank/config/HostListTest.java
+++ b/src/test/java/rowanplank/config/HostListTest.java
@@ -33,7 +33,7 @@
     void aSizeThatIsNoSizeIsClamped() {
         for (String size : List.of("1e300", "-1e300", "0", "100", "0.01")) {
             double share = HostList.parse(LIST.replace("\"size\":1.5", "\"size\":" + size), ZONES).members().get(0)
-                    .server().share();
+                    .server().weight();
             assertEquals(Math.min(100, Math.max(0.01, Double.parseDouble(size))), share);
         }
     }
--- a/src/test/java/rowanplank/config/SettingsReaderTest.java
+++ b/src/test/java/rowanplank/config/SettingsReaderTest.java
@@ -12,9 +12,9 @@
 
     @Test
     void thePriceOfCrossingZonesIsRead() {
-        assertEquals(0.08, SettingsReader.parse(SETTINGS.formatted("0.08")).module().crossingPrice());
+        assertEquals(0.08, SettingsReader.parse(SETTINGS.formatted("0.08")).module().crossZoneCost());
         assertEquals(0, SettingsReader.parse(SETTINGS.replace("cross_zone", "novel").formatted("1")).module()
-                .crossingPrice());
+                .crossZoneCost());
     }
 
     /** Guards one tenant's share against another's requests, and requests that name no tenant, or one that is not listed. */
--- a/src/test/java/rowanplank/lab/check/BrokenModule.java
+++ b/src/test/java/rowanplank/lab/check/BrokenModule.java
@@ -44,7 +44,7 @@
         @Override
         void failed(long request, Outcome outcome) {
             if (outcome == Outcome.MOOT) {
-                actions.refuse(request, 100);
+                actions.reject(request, 100);
             } else {
                 send(request);
             }
@@ -85,7 +85,7 @@
         ready.sort(Comparator.comparingLong(Server::id));
         turn++;
         if (ready.isEmpty()) {
-            actions.refuse(request, 100);
+            actions.reject(request, 100);
         } else {
             actions.send(request, pick(ready).id(), 60_000);
         }
@@ -111,7 +111,7 @@
     public void onStreamStarted(double nowMs, long request, int attempt) { }
 
     @Override
-    public void onDeparture(double nowMs, long request) { }
+    public void onClientLeft(double nowMs, long request) { }
 
     @Override
     public void onTimer(double nowMs, long token) { }
--- a/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
+++ b/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
@@ -166,8 +166,8 @@
         }
 
         @Override
-        public void onDeparture(double nowMs, long request) {
-            balancer.onDeparture(nowMs, request);
+        public void onClientLeft(double nowMs, long request) {
+            balancer.onClientLeft(nowMs, request);
         }
 
         @Override
--- a/src/test/java/rowanplank/lab/policy/Stage.java
+++ b/src/test/java/rowanplank/lab/policy/Stage.java
@@ -12,9 +12,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
 import rowanplank.balancer.BalancerApi.Events;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -75,7 +75,7 @@
     }
 
     private static RequestClass type(Effect effect) {
-        return new RequestClass(150, 500, 2, 0.3, effect, Group.ALL, 5000, false);
+        return new RequestClass(150, 500, 2, 0.3, effect, DedupGroup.ALL, 5000, false);
     }
 
     static Server server(long id) {
@@ -130,7 +130,7 @@
 
     void departure(long id) {
         requests.get(id).ended = true;
-        policy.onDeparture(now, id);
+        policy.onClientLeft(now, id);
     }
 
     void report(long server, Report report) {
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public void refuse(long request, double retryAfterMs) {
+    public void reject(long request, double retryAfterMs) {
         Asked r = requests.get(request);
         assertTrue(r.type.effect() != Effect.ONCE || !r.ranMaybe && r.out == null, "an unsafe refusal");
         refused++;
--- a/src/test/java/rowanplank/measure/ListCapacity.java
+++ b/src/test/java/rowanplank/measure/ListCapacity.java
@@ -35,7 +35,7 @@
         public void send(long request, long server, double timeoutMs) { }
 
         @Override
-        public void refuse(long request, double retryAfterMs) { }
+        public void reject(long request, double retryAfterMs) { }
 
         @Override
         public void fail(long request) { }
--- a/src/test/java/rowanplank/measure/ModuleCapacity.java
+++ b/src/test/java/rowanplank/measure/ModuleCapacity.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 import rowanplank.balancer.Balancer;
 import rowanplank.balancer.BalancerApi.Actions;
+import rowanplank.balancer.BalancerApi.DedupGroup;
 import rowanplank.balancer.BalancerApi.Effect;
-import rowanplank.balancer.BalancerApi.Group;
 import rowanplank.balancer.BalancerApi.Lifecycle;
 import rowanplank.balancer.BalancerApi.Limits;
 import rowanplank.balancer.BalancerApi.ListKind;
@@ -69,7 +69,7 @@
     static Settings settings(Size s) {
         List<RequestClass> classes = new ArrayList<>();
         for (int c = 0; c < s.classes; c++) {
-            classes.add(new RequestClass(500, 5000, 1, 0.2, Effect.REPEATABLE, Group.ALL, 0, false));
+            classes.add(new RequestClass(500, 5000, 1, 0.2, Effect.REPEATABLE, DedupGroup.ALL, 0, false));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (int t = 0; t < s.tenants; t++) {
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void refuse(long request, double retryAfterMs) {
+        public void reject(long request, double retryAfterMs) {
             refused++;
         }
 
--- a/src/test/java/rowanplank/measure/SubsetCapacity.java
+++ b/src/test/java/rowanplank/measure/SubsetCapacity.java
@@ -32,7 +32,7 @@
 
     /** How many of these a node with these settings uses. */
     static int used(Settings settings, List<Server> all) {
-        Subset subset = subset(settings.nodes(), settings.node(), settings.zone(), settings.crossingPrice() > 0, all);
+        Subset subset = subset(settings.nodes(), settings.node(), settings.zone(), settings.crossZoneCost() > 0, all);
         return (int) all.stream().filter(s -> subset.uses(s.id(), s.zone())).count();
     }
 
--- a/src/test/java/rowanplank/node/DeploymentsTest.java
+++ b/src/test/java/rowanplank/node/DeploymentsTest.java
@@ -186,8 +186,8 @@
         }
 
         @Override
-        public void onDeparture(double nowMs, long request) {
-            balancer.onDeparture(nowMs, request);
+        public void onClientLeft(double nowMs, long request) {
+            balancer.onClientLeft(nowMs, request);
         }
 
         @Override
@@ -212,10 +212,10 @@
             }
 
             @Override
-            public void refuse(long request, double retryAfterMs) {
+            public void reject(long request, double retryAfterMs) {
                 note("refuse " + request + " for " + retryAfterMs);
                 open--;
-                actions.refuse(request, retryAfterMs);
+                actions.reject(request, retryAfterMs);
             }
 
             @Override
--- a/src/test/java/rowanplank/simhost/SimhostTest.java
+++ b/src/test/java/rowanplank/simhost/SimhostTest.java
@@ -93,7 +93,7 @@
         assertEquals(0x91f03b7c55d20a64L, e.request().key());
         assertEquals(8652.25, e.request().deadlineMs());
         assertEquals(12, e.request().costMs());
-        assertTrue(e.request().repeat());
+        assertTrue(e.request().clientRetry());
     }
 
     @Test
