--- a/src/main/java/routerfleet/data/ServerPool.java
+++ b/src/main/java/routerfleet/data/ServerPool.java
@@ -82,14 +82,14 @@
     /** {@link #applyMembership} is to follow, once for all servers that come and go at one time. */
     void add(Server server) {
         servers.add(server);
-        classes.values().forEach(network -> network.neurons.put(server, network.network.enter()));
+        classes.values().forEach(network -> network.neurons.put(server, network.network.addNeuron()));
         membershipChanged = true;
     }
 
     /** {@link #applyMembership} is to follow. */
     void remove(Server server) {
         if (servers.remove(server)) {
-            classes.values().forEach(network -> network.network.leave(network.neurons.remove(server)));
+            classes.values().forEach(network -> network.network.removeNeuron(network.neurons.remove(server)));
             membershipChanged = true;
         }
     }
@@ -98,7 +98,7 @@
     void applyMembership() {
         if (membershipChanged) {
             membershipChanged = false;
-            classes.values().forEach(network -> network.network.settle());
+            classes.values().forEach(network -> network.network.solve());
             groups = new ServerGroups(servers, zone);
         }
     }
@@ -121,8 +121,8 @@
 
     private ClassNetwork newNetwork(String requestClass) {
         ClassNetwork created = new ClassNetwork();
-        servers.forEach(server -> created.neurons.put(server, created.network.enter()));
-        created.network.settle();
+        servers.forEach(server -> created.neurons.put(server, created.network.addNeuron()));
+        created.network.solve();
         return created;
     }
 
--- a/src/main/java/rowanplank/balancer/Balancer.java
+++ b/src/main/java/rowanplank/balancer/Balancer.java
@@ -5,7 +5,7 @@
 import rowanplank.balancer.BalancerApi.*;
 import rowanplank.balancer.NodeState.*;
 import rowanplank.neural.*;
-import rowanplank.route.Route;
+import rowanplank.route.ZoneRouter;
 import rowanplank.subset.ColdStart;
 import rowanplank.subset.Subset;
 
@@ -68,7 +68,7 @@
     private final Actions actions;
     private final SplittableRandom random;
     private final Map<Long, Server> listed = new LinkedHashMap<>();
-    private final Route route;
+    private final ZoneRouter route;
     private final Subset subset;
     private final ColdStart coldStart;
     /** Nodes that use a server. */
@@ -96,7 +96,7 @@
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(seed);
-        route = new Route(settings.nodes(), settings.zone(), settings.crossZoneCost());
+        route = new ZoneRouter(settings.nodes(), settings.zone(), settings.crossZoneCost());
         // A node's part of a server is then a whole place, also while requests are refused.
         subset = new Subset(settings.nodes(), settings.node(), settings.zone(), settings.crossZoneCost() > 0,
                 MAX_IN_FLIGHT_REJECTING);
@@ -120,12 +120,12 @@
         if (kind != ListKind.DELTA) listed.clear();
         servers.forEach(s -> listed.put(s.id(), s));
         listed.values().removeIf(s -> s.lifecycle() != Lifecycle.READY);
-        subset.servers(listed.size(), zones(listed.values().stream()));
+        subset.updateServers(listed.size(), zones(listed.values().stream()));
         List.copyOf(readyServers).stream().filter(t -> !isStillValid(t)).forEach(this::removeServer);
         listed.values().stream().filter(this::isUsed).forEach(this::update);
-        for (RandomNeuralNetwork n : networks) n.settle();
-        nodesPerServer = subset.nodesAServer();
-        route.servers(zones(readyServers.stream().map(t -> t.server)));
+        for (RandomNeuralNetwork n : networks) n.solve();
+        nodesPerServer = subset.nodesPerServer();
+        route.updateZones(zones(readyServers.stream().map(t -> t.server)));
         candidates = candidates.length < readyServers.size() ? new ServerState[readyServers.size() + 8] : candidates;
         sendQueued();
     }
@@ -231,13 +231,13 @@
         ServerState before = removedServers.remove(s.id());
         // One that was off the list for a moment still holds what was sent to it, and is as it was.
         ServerState t = before != null && s.startedAtMs() <= before.server.startedAtMs() ? before : newServerState(s);
-        t.neurons = Stream.of(networks).map(RandomNeuralNetwork::enter).toArray(Neuron[]::new);
+        t.neurons = Stream.of(networks).map(RandomNeuralNetwork::addNeuron).toArray(Neuron[]::new);
         servers.put(s.id(), t);
         readyServers.add(t);
     }
 
     private ServerState newServerState(Server s) {
-        double warmth = coldStart.warmth(now, s.startedAtMs());
+        double warmth = coldStart.capacityFraction(now, s.startedAtMs());
         ServerState t = new ServerState(s, new ConcurrencyLimit(meanSlowness * settings.classes().get(0).targetMs() / warmth, now));
         t.ejectionMs = FIRST_EJECTION_MS;
         t.lastSentAt = now;
@@ -249,7 +249,7 @@
     private void removeServer(ServerState t) {
         servers.remove(t.server.id());
         readyServers.remove(t);
-        for (int c = 0; c < networks.length; c++) networks[c].leave(t.neurons[c]);
+        for (int c = 0; c < networks.length; c++) networks[c].removeNeuron(t.neurons[c]);
         t.neurons = null;
         if (t.limit.inFlight > 0) removedServers.put(t.server.id(), t);
     }
@@ -275,7 +275,7 @@
             balance += t.unreachable ? 0 : t.ejected ? -1 : 1;
         }
         // A zone of which nothing is reached is cut off: its nodes take no part of the other servers.
-        nodesPerServer = subset.nodesAServer() * Math.max(1, Long.bitCount(reached)) / Long.bitCount(zones);
+        nodesPerServer = subset.nodesPerServer() * Math.max(1, Long.bitCount(reached)) / Long.bitCount(zones);
         // More than half of the reachable servers look bad: the cause is not theirs, and ejection is ignored.
         boolean panic = balance < 0;
         int c = r.request.classIndex();
@@ -284,7 +284,7 @@
         for (ServerState t : readyServers) {
             if (!hasFreeSlot(t.limit) || !maySendTo(r, t)) continue;
             if (t.ejected && !panic && mayProbe(t, r)) return t;
-            int rank = route.rank(t.server.zone());
+            int rank = route.zonePreference(t.server.zone());
             if (t.ejected && (!panic || t.unreachable) || rank > best) continue;
             n = rank < best ? 0 : n;
             best = rank;
@@ -357,15 +357,15 @@
     }
 
     private double slots(ServerState t) {
-        double warmth = coldStart.warmth(now, t.server.startedAtMs());
+        double warmth = coldStart.capacityFraction(now, t.server.startedAtMs());
         // While requests are refused there is always one to fill a place: more held at the server only waits.
         boolean refusing = now < shedUntil && shedBelow >= 1;
         double most = refusing && warmth == 1 ? MAX_IN_FLIGHT_REJECTING : MAX_IN_FLIGHT;
         // And a request that some zone can still take must not be refused for being another zone's.
-        double parts = refusing ? 1 : route.parts(t.server.zone());
+        double parts = refusing ? 1 : route.serverShare(t.server.zone());
         // Of the fleet's bound, this node's part is told: for all zones, and a due share of a cold one.
         double told = actions.slotLimit(t.server.id());
-        return (told < 0 ? most * parts / nodesPerServer : told) * t.limit.fraction * coldStart.part(warmth);
+        return (told < 0 ? most * parts / nodesPerServer : told) * t.limit.fraction * coldStart.limitFraction(warmth);
     }
 
     /** A half-open trial must be harmless to lose, where any class is. */
@@ -420,7 +420,7 @@
         t.limit.lastLatencyMs = Math.max(any ? 1 : t.limit.lastLatencyMs, latency);
         double slow = latency / r.type.targetMs();
         adjustLimit(t.limit, latency, Math.min(2, slow));
-        route.answered(t.server.zone(), Math.min(2, slow));
+        route.recordLatency(t.server.zone(), Math.min(2, slow));
         meanSlowness += MEAN_SLOWNESS_GAIN * (Math.min(1, slow) - meanSlowness);
         if (late) return;
         t.unreachable = outcome == Outcome.CONNECT_FAILED || t.unreachable && outcome == Outcome.TIMEOUT;
--- a/src/main/java/rowanplank/neural/Neuron.java
+++ b/src/main/java/rowanplank/neural/Neuron.java
@@ -6,10 +6,10 @@
  */
 public final class Neuron {
     double q = 0.5;
-    double up;
-    double upRow;
-    double down;
-    double downRow;
+    double excitatoryColumn;
+    double excitatoryRow;
+    double inhibitoryColumn;
+    double inhibitoryRow;
 
     /** q, the probability that the neuron is excited, in (0, 1]: the higher, the better the server. */
     public double quality() {
--- a/src/test/java/rowanplank/balancer/HardCasesTest.java
+++ b/src/test/java/rowanplank/balancer/HardCasesTest.java
@@ -108,8 +108,8 @@
     @Test
     void withoutAnyAnswerTheServersThatFailedAreTheWorse() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> all = Stream.generate(network::enter).limit(10).toList();
-        network.settle();
+        List<Neuron> all = Stream.generate(network::addNeuron).limit(10).toList();
+        network.solve();
         network.learn(all.get(0), 1700, false);
         assertTrue(all.get(0).quality() < all.get(1).quality(), all.get(0).quality() + " against " + all.get(1).quality());
     }
--- a/src/test/java/rowanplank/measure/SubsetCapacity.java
+++ b/src/test/java/rowanplank/measure/SubsetCapacity.java
@@ -26,7 +26,7 @@
         Subset subset = new Subset(nodes, node, zone, crossing, WANTED);
         Set<Integer> zones = new TreeSet<>();
         all.forEach(s -> zones.add(s.zone()));
-        subset.servers(all.size(), zones);
+        subset.updateServers(all.size(), zones);
         return subset;
     }
 
--- a/src/test/java/rowanplank/neural/RandomNeuralNetworkTest.java
+++ b/src/test/java/rowanplank/neural/RandomNeuralNetworkTest.java
@@ -16,8 +16,8 @@
     private static List<Neuron> enter(RandomNeuralNetwork network, int n) {
         List<Neuron> neurons = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            neurons.add(network.enter());
-            network.settle();
+            neurons.add(network.addNeuron());
+            network.solve();
         }
         return neurons;
     }
@@ -32,8 +32,8 @@
     @Test
     void aloneAServerKeepsItsQ() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        Neuron only = network.enter();
-        network.settle();
+        Neuron only = network.addNeuron();
+        network.solve();
         network.learn(only, 10, true);
         assertEquals(0.5, only.q);
     }
@@ -43,12 +43,12 @@
         RandomNeuralNetwork network = new RandomNeuralNetwork();
         List<Neuron> s = enter(network, 4);
         network.learn(s.get(0), 100, true); // sets the mean; payoff equals the threshold, so it counts as no win
-        double before = s.get(1).up;
+        double before = s.get(1).excitatoryColumn;
         network.learn(s.get(1), 50, true);
         double mean = 0.95 * 100 + 0.05 * 50;
         double payoff = 0.1 * mean / 50;
-        assertEquals(before * 0.99 + payoff, s.get(1).up, 1e-12);
-        assertEquals(payoff / 2, s.get(1).downRow, 1e-12);
+        assertEquals(before * 0.99 + payoff, s.get(1).excitatoryColumn, 1e-12);
+        assertEquals(payoff / 2, s.get(1).inhibitoryRow, 1e-12);
         assertTrue(s.get(1).q > s.get(2).q);
     }
 
@@ -104,12 +104,12 @@
         for (int i = 0; i < 400; i++) {
             network.learn(s.get(i % 4), 10 + 20 * (i % 4), true);
         }
-        double up = s.get(0).up;
-        Neuron newcomer = network.enter();
-        network.settle();
-        network.leave(s.get(2));
-        network.settle();
-        assertEquals(up, s.get(0).up);
+        double up = s.get(0).excitatoryColumn;
+        Neuron newcomer = network.addNeuron();
+        network.solve();
+        network.removeNeuron(s.get(2));
+        network.solve();
+        assertEquals(up, s.get(0).excitatoryColumn);
         assertTrue(s.get(0).q > newcomer.q && newcomer.q > s.get(3).q);
     }
 
@@ -143,8 +143,8 @@
         for (int j = 0; j < n; j++) {
             for (int k = 0; k < n; k++) {
                 if (j != k) {
-                    assertEquals(w0 + up[j][k], w0 + s.get(k).up - s.get(j).upRow, 1e-9);
-                    assertEquals(w0 + down[j][k], w0 + s.get(k).down - s.get(j).downRow, 1e-9);
+                    assertEquals(w0 + up[j][k], w0 + s.get(k).excitatoryColumn - s.get(j).excitatoryRow, 1e-9);
+                    assertEquals(w0 + down[j][k], w0 + s.get(k).inhibitoryColumn - s.get(j).inhibitoryRow, 1e-9);
                 }
             }
         }
--- a/src/test/java/rowanplank/subset/ColdStartTest.java
+++ b/src/test/java/rowanplank/subset/ColdStartTest.java
@@ -11,10 +11,10 @@
 
     @Test
     void aServerHasTheSettingsShareAtItsStartAndAllOfItAfterTheirTime() {
-        assertEquals(0.2, COLD.warmth(5000, 5000));
-        assertEquals(0.6, COLD.warmth(5500, 5000), 1e-9);
-        assertEquals(1, COLD.warmth(6000, 5000));
-        assertEquals(1, COLD.warmth(500, 0), "started long ago");
+        assertEquals(0.2, COLD.capacityFraction(5000, 5000));
+        assertEquals(0.6, COLD.capacityFraction(5500, 5000), 1e-9);
+        assertEquals(1, COLD.capacityFraction(6000, 5000));
+        assertEquals(1, COLD.capacityFraction(500, 0), "started long ago");
         assertTrue(COLD.isWarm(6000, 5000));
         assertFalse(COLD.isWarm(5999, 5000));
     }
@@ -22,14 +22,14 @@
     /** A start that lies ahead, by the clock of whoever listed it, is a start now. */
     @Test
     void aStartAheadIsAStartNow() {
-        assertEquals(0.2, COLD.warmth(5000, 5300));
+        assertEquals(0.2, COLD.capacityFraction(5000, 5300));
     }
 
     /** A limit holds half of what would make a warm server fall: where it falls under less, so much less of it. */
     @Test
     void theLimitFollowsTheWarmthAndWhatMakesItFall() {
-        assertEquals(0.5, COLD.part(0.5));
-        assertEquals(0.25, new ColdStart(0.2, 1000, 1).part(0.5));
-        assertEquals(1, new ColdStart(0.2, 1000, 1).part(1));
+        assertEquals(0.5, COLD.limitFraction(0.5));
+        assertEquals(0.25, new ColdStart(0.2, 1000, 1).limitFraction(0.5));
+        assertEquals(1, new ColdStart(0.2, 1000, 1).limitFraction(1));
     }
 }
--- a/src/test/java/rowanplank/subset/SubsetTest.java
+++ b/src/test/java/rowanplank/subset/SubsetTest.java
@@ -20,7 +20,7 @@
         for (int zone : zones) {
             listed.add(zone);
         }
-        subset.servers(servers, listed);
+        subset.updateServers(servers, listed);
         return subset;
     }
 
@@ -50,7 +50,7 @@
             }
             assertTrue(used >= 2 && used <= servers, used + " of " + servers + " servers used by one of " + nodes);
         }
-        double wanted = subset(nodes, 0, servers, 0, 1, 2).nodesAServer();
+        double wanted = subset(nodes, 0, servers, 0, 1, 2).nodesPerServer();
         for (int of : nodesOf) {
             assertTrue(of >= 1 && of <= 2 * wanted + 1, of + " nodes use a server, " + wanted + " are wanted");
         }
