--- a/src/test/java/rowanplank/balancer/ColdFleet.java
+++ b/src/test/java/rowanplank/balancer/ColdFleet.java
@@ -23,7 +23,7 @@
 
 /**
  * Some dozens of modules that know nothing of each other, and servers that join and come back cold, in virtual time and
- * without sockets. Each start of a server is watched by a {@link FallCounter}. Nodes hear of a start at different times,
+ * without sockets. Each start of a server is watched by a {@link OverloadCounter}. Nodes hear of a start at different times,
  * some after seconds. Same plan and seed, same run.
  */
 final class ColdFleet {
@@ -35,10 +35,10 @@
     private static final double RARE = 0.125;
 
     /** What a server does with what comes to it while it is cold; one that is down answers nothing. */
-    enum Cold { SERVES, TURNS_AWAY, FAILS, RESETS, IS_SILENT }
+    enum ColdBehavior { SERVES, TURNS_AWAY, FAILS, RESETS, IS_SILENT }
 
     /** Planted: each module's ramp is sized as if it were the only one; or it hears of no start. */
-    enum Fault { NONE, RAMP_OF_ONE, NO_RAMP }
+    enum InjectedFault { NONE, RAMP_OF_ONE, NO_RAMP }
 
     /**
      * A site and what happens there.
@@ -50,36 +50,36 @@
      * @param quiet whether nothing is asked of the fleet between the starts and the burst
      * @param fault what is wrong with the modules
      */
-    record Plan(int nodes, int servers, double workMs, double load, double burst, Cold cold, double failing,
-            boolean quiet, Fault fault) {
-        Plan with(Cold how) {
-            return new Plan(nodes, servers, workMs, load, burst, how, failing, quiet, fault);
+    record Scenario(int nodes, int servers, double workMs, double load, double burst, ColdBehavior cold, double failing,
+            boolean quiet, InjectedFault fault) {
+        Scenario with(ColdBehavior how) {
+            return new Scenario(nodes, servers, workMs, load, burst, how, failing, quiet, fault);
         }
 
-        Plan failing(double part) {
-            return new Plan(nodes, servers, workMs, load, burst, cold, part, quiet, fault);
+        Scenario failing(double part) {
+            return new Scenario(nodes, servers, workMs, load, burst, cold, part, quiet, fault);
         }
 
-        Plan with(Fault planted) {
-            return new Plan(nodes, servers, workMs, load, burst, cold, failing, quiet, planted);
+        Scenario with(InjectedFault planted) {
+            return new Scenario(nodes, servers, workMs, load, burst, cold, failing, quiet, planted);
         }
 
-        Plan quietUntilTheBurst() {
-            return new Plan(nodes, servers, workMs, load, burst, cold, failing, true, fault);
+        Scenario quietUntilTheBurst() {
+            return new Scenario(nodes, servers, workMs, load, burst, cold, failing, true, fault);
         }
     }
 
     private record Due(double at, long order, Runnable what) { }
 
     private Server listed(Machine m) {
-        return new Server(m.id, m.zone, 0, Lifecycle.READY, 1, plan.fault() == Fault.NO_RAMP ? 0 : m.startedAt);
+        return new Server(m.id, m.zone, 0, Lifecycle.READY, 1, plan.fault() == InjectedFault.NO_RAMP ? 0 : m.startedAt);
     }
 
     private static final class Machine {
         final long id;
         final int zone;
         double startedAt;
-        FallCounter counter;
+        OverloadCounter counter;
         int held;
 
         Machine(long id) {
@@ -107,12 +107,12 @@
     private static final Rules RULES = new Rules(10_000, 0.12, 24_000, 2.5);
     static final double FALL_MS = 1500;
 
-    final List<FallCounter> starts = new ArrayList<>();
+    final List<OverloadCounter> starts = new ArrayList<>();
     /** Requests that came, those served, and those served by servers in their cold time. */
     int asked;
     int served;
     int servedCold;
-    private final Plan plan;
+    private final Scenario plan;
     private final SplittableRandom random;
     private final Map<Long, Machine> machines = new LinkedHashMap<>();
     private final Node[] nodes;
@@ -122,7 +122,7 @@
     private long order;
     private double burst = 1;
 
-    ColdFleet(Plan plan, long seed) {
+    ColdFleet(Scenario plan, long seed) {
         this.plan = plan;
         random = new SplittableRandom(seed);
         for (long id = 1; id <= plan.servers(); id++) {
@@ -139,7 +139,7 @@
         double aim = 8 * plan.workMs();
         RequestClass common = new RequestClass(aim, 2.5 * aim, 2, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
         RequestClass rare = new RequestClass(2 * aim, 5 * aim, 6, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
-        int of = plan.fault() == Fault.RAMP_OF_ONE ? 1 : plan.nodes();
+        int of = plan.fault() == InjectedFault.RAMP_OF_ONE ? 1 : plan.nodes();
         return new Settings(of, node % of, node % ZONES, List.of(common, rare), List.of(), 0.1,
                 new Limits(6, true, false, 1000), RULES, false, false, false, 0.08);
     }
@@ -197,16 +197,16 @@
                 m.counter.came(now, work, told.getOrDefault(server, -1.0) == m.startedAt);
             }
             boolean down = m.counter != null && m.counter.fallen;
-            Cold how = down ? Cold.IS_SILENT : isCold ? plan.cold() : Cold.SERVES;
-            boolean fails = how == Cold.FAILS || how == Cold.SERVES && !isCold && random.nextDouble() < plan.failing();
+            ColdBehavior how = down ? ColdBehavior.IS_SILENT : isCold ? plan.cold() : ColdBehavior.SERVES;
+            boolean fails = how == ColdBehavior.FAILS || how == ColdBehavior.SERVES && !isCold && random.nextDouble() < plan.failing();
             double least = 0.12 + 0.88 * (now - m.startedAt) / RULES.warmupMs();
             double warm = isCold ? Math.min(1, least) : 1;
             double takes = work * plan.workMs() / warm * Math.max(1, ++m.held / (double) CORES);
             double start = m.startedAt;
             at(takes, () -> m.held -= m.startedAt == start ? 1 : 0);
-            double answers = how == Cold.IS_SILENT ? Double.MAX_VALUE : how != Cold.SERVES || fails ? 1 : takes;
+            double answers = how == ColdBehavior.IS_SILENT ? Double.MAX_VALUE : how != ColdBehavior.SERVES || fails ? 1 : takes;
             Outcome outcome = answers > timeoutMs ? Outcome.TIMEOUT : fails ? Outcome.ERROR
-                    : how == Cold.TURNS_AWAY ? Outcome.FULL : how == Cold.RESETS ? Outcome.RESET : Outcome.OK;
+                    : how == ColdBehavior.TURNS_AWAY ? Outcome.FULL : how == ColdBehavior.RESETS ? Outcome.RESET : Outcome.OK;
             at(Math.max(0, Math.min(answers, timeoutMs)), () -> ended(request, attempt, sentAt, outcome, isCold));
         }
 
@@ -282,7 +282,7 @@
         m.startedAt = now;
         m.held = 0;
         double warmRate = CORES / plan.workMs();
-        m.counter = new FallCounter(new FallCounter.Terms(RULES.initialCapacity(), RULES.warmupMs(), RULES.overloadMultiple(), FALL_MS,
+        m.counter = new OverloadCounter(new OverloadCounter.ServerTerms(RULES.initialCapacity(), RULES.warmupMs(), RULES.overloadMultiple(), FALL_MS,
                 warmRate), now);
         starts.add(m.counter);
         for (Node node : nodes) {
--- a/src/test/java/rowanplank/balancer/ColdCrossingsTest.java
+++ b/src/test/java/rowanplank/balancer/ColdServerRacesTest.java
@@ -13,7 +13,7 @@
 import rowanplank.balancer.Harness.Sent;
 
 /** What comes between a cold server's start and its warmth, event by event: the section of docs/races.md on cold servers. */
-class ColdCrossingsTest {
+class ColdServerRacesTest {
     private static final long COLD = 1;
     private static final int ANSWER_MS = 100;
 
@@ -96,7 +96,7 @@
     void nodesThatJoinDuringTheRampDoNotSendAtOnce() {
         int nodes = 30;
         double warmRate = 2.0 / 400;
-        FallCounter counter = new FallCounter(new FallCounter.Terms(0.14, 24_000, 3, 1500, warmRate), 1000);
+        OverloadCounter counter = new OverloadCounter(new OverloadCounter.ServerTerms(0.14, 24_000, 3, 1500, warmRate), 1000);
         List<Harness> joined = new ArrayList<>();
         for (int n = 0; n < nodes; n++) {
             Harness h = new Harness(Harness.settings(nodes, Harness.LIMITS, Harness.SAFE), n);
--- a/src/test/java/rowanplank/balancer/ColdServersTest.java
+++ b/src/test/java/rowanplank/balancer/ColdServersTest.java
@@ -6,35 +6,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import rowanplank.balancer.ColdFleet.Cold;
-import rowanplank.balancer.ColdFleet.Fault;
-import rowanplank.balancer.ColdFleet.Plan;
+import rowanplank.balancer.ColdFleet.ColdBehavior;
+import rowanplank.balancer.ColdFleet.InjectedFault;
+import rowanplank.balancer.ColdFleet.Scenario;
 
 /**
  * Rule 4 for the sum of all nodes: one to thirty modules that know nothing of each other, and servers that join and come
- * back cold, under a burst, while nodes die, come back and hear late. What counts is {@link FallCounter}'s, apart from the
+ * back cold, under a burst, while nodes die, come back and hear late. What counts is {@link OverloadCounter}'s, apart from the
  * module.
  */
 class ColdServersTest {
     /** Some nodes use nearly every server; or up to 7 use a server that 3 are wanted for; or few do, with whole places. */
-    private static final Plan[] FLEETS = {plan(30, 12, 85), plan(24, 60, 85), plan(24, 60, 400), plan(3, 10, 400),
+    private static final Scenario[] FLEETS = {plan(30, 12, 85), plan(24, 60, 85), plan(24, 60, 400), plan(3, 10, 400),
         plan(1, 4, 85), plan(1, 4, 400)};
     private static final int SEEDS = 2;
 
-    private static Plan plan(int nodes, int servers, double workMs) {
-        return new Plan(nodes, servers, workMs, 0.55, 1.6, Cold.SERVES, 0, false, Fault.NONE);
+    private static Scenario plan(int nodes, int servers, double workMs) {
+        return new Scenario(nodes, servers, workMs, 0.55, 1.6, ColdBehavior.SERVES, 0, false, InjectedFault.NONE);
     }
 
-    private static void bears(Plan plan, long seed) {
+    private static void bears(Scenario plan, long seed) {
         ColdFleet fleet = new ColdFleet(plan, seed).run();
         assertEquals(0, fleet.broken(), () -> "servers pushed over: " + plan + ", seed " + seed);
         assertTrue(fleet.mostByTold() < 1, () -> fleet.mostByTold() + " of what it bears: " + plan + ", seed " + seed);
     }
 
     @ParameterizedTest
-    @EnumSource(Cold.class)
-    void nodesThatWereToldDoNotPushAColdServerOver(Cold how) {
-        for (Plan fleet : FLEETS) {
+    @EnumSource(ColdBehavior.class)
+    void nodesThatWereToldDoNotPushAColdServerOver(ColdBehavior how) {
+        for (Scenario fleet : FLEETS) {
             for (long seed = 1; seed <= SEEDS; seed++) {
                 bears(fleet.with(how), seed);
             }
@@ -43,9 +43,9 @@
 
     /** With errors everywhere, ejection takes more of them, and is ignored once most servers are ejected. */
     @ParameterizedTest
-    @EnumSource(Cold.class)
-    void norWhileOthersFailToo(Cold how) {
-        for (Plan fleet : FLEETS) {
+    @EnumSource(ColdBehavior.class)
+    void norWhileOthersFailToo(ColdBehavior how) {
+        for (Scenario fleet : FLEETS) {
             bears(fleet.with(how).failing(0.35), 1);
             bears(fleet.with(how).failing(0.8), 1);
         }
@@ -53,24 +53,24 @@
 
     /** What nodes save up while nothing is asked of them is not spent at once. */
     @ParameterizedTest
-    @EnumSource(Cold.class)
-    void norInABurstAfterAQuietTime(Cold how) {
-        for (Plan fleet : FLEETS) {
+    @EnumSource(ColdBehavior.class)
+    void norInABurstAfterAQuietTime(ColdBehavior how) {
+        for (Scenario fleet : FLEETS) {
             bears(fleet.with(how).quietUntilTheBurst(), 1);
         }
     }
 
-    private static long broken(Plan plan) {
+    private static long broken(Scenario plan) {
         return new ColdFleet(plan, 1).run().broken() + new ColdFleet(plan, 2).run().broken();
     }
 
     /** Planted: so the checks above can fail. */
     @Test
     void rampsForOneProcessOrNoneWouldPushThemOver() {
-        Plan busy = new Plan(24, 24, 400, 0.9, 1.6, Cold.SERVES, 0, false, Fault.NONE);
+        Scenario busy = new Scenario(24, 24, 400, 0.9, 1.6, ColdBehavior.SERVES, 0, false, InjectedFault.NONE);
         assertEquals(0, broken(busy));
-        assertTrue(broken(busy.with(Fault.RAMP_OF_ONE)) > 0);
-        assertTrue(broken(busy.with(Fault.NO_RAMP)) > 0);
+        assertTrue(broken(busy.with(InjectedFault.RAMP_OF_ONE)) > 0);
+        assertTrue(broken(busy.with(InjectedFault.NO_RAMP)) > 0);
     }
 
     /** Guards the ramp against being so careful that servers stay cold and at rest. */
--- a/src/test/java/rowanplank/balancer/SameChoicesTest.java
+++ b/src/test/java/rowanplank/balancer/DecisionDigestTest.java
@@ -39,7 +39,7 @@
  * The site goes from rest to far beyond its capacity, its servers are cold, slow, full, silent and gone by turns. A change
  * that is meant to choose otherwise takes new digests, and its commit says for which seeds and why.
  */
-class SameChoicesTest {
+class DecisionDigestTest {
     private static final Outcome[] FAILURES = {Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET,
         Outcome.MOOT};
 
--- a/src/test/java/rowanplank/balancer/ModuleRulesTest.java
+++ b/src/test/java/rowanplank/balancer/ModuleRulesTest.java
@@ -60,14 +60,14 @@
     }
 
     /** A module that breaks one rule on purpose; the first one breaks none. */
-    enum Broken {
+    enum BrokenModule {
         NOT(null), FORGETS_REFUSALS(Rule.FINAL_ANSWER), REFUSES_TWICE(Rule.FINAL_ANSWER), SENDS_TWICE(Rule.ONE_TRY),
         HEARS_NO_DRAIN(Rule.DRAIN), MISSES_OUTCOMES(Rule.COUNTS), LEARNS_NONSENSE(Rule.COUNTS),
         WAITS_TO_REFUSE(Rule.AT_ONCE), GIVES_NO_ADVICE(Rule.AT_ONCE);
 
         final Rule rule;
 
-        Broken(Rule rule) {
+        BrokenModule(Rule rule) {
             this.rule = rule;
         }
     }
@@ -93,8 +93,8 @@
     }
 
     /** A node's part, played from one seed; it keeps the module's promises and checks the module's own. */
-    private static final class Play implements Actions {
-        private final Broken how;
+    private static final class Simulation implements Actions {
+        private final BrokenModule how;
         private final SplittableRandom random;
         private final Settings settings;
         private final Balancer balancer;
@@ -111,11 +111,11 @@
         private long order;
         private int turn;
 
-        Play(long seed, Broken how) {
+        Simulation(long seed, BrokenModule how) {
             this.how = how;
             random = new SplittableRandom(seed);
             RequestClass once = new RequestClass(400, 1200, 2, 0.2, Effect.ONCE, DedupGroup.ALL, 0, false);
-            settings = new Settings(1 + random.nextInt(4), 0, 0, List.of(MiniSite.classes()[0], MiniSite.classes()[1],
+            settings = new Settings(1 + random.nextInt(4), 0, 0, List.of(SimulatedSite.classes()[0], SimulatedSite.classes()[1],
                     once), List.of(), 0.1, new Limits(6, true, false, 1000), new Rules(10_000, 0.12, 24_000, 2.5), false,
                     false, false, random.nextInt(2) * 0.08);
             balancer = new Balancer(settings, seed, this);
@@ -140,7 +140,7 @@
                 told.clear();
             }
             servers.forEach(s -> told.put(s.id(), s));
-            List<Server> heard = how != Broken.HEARS_NO_DRAIN ? servers : servers.stream().map(s ->
+            List<Server> heard = how != BrokenModule.HEARS_NO_DRAIN ? servers : servers.stream().map(s ->
                     new Server(s.id(), s.zone(), s.cell(), Lifecycle.READY, s.weight(), s.startedAtMs())).toList();
             balancer.onServers(now, kind, heard);
             check();
@@ -161,8 +161,8 @@
             if (outcome == Outcome.OK && !a.ended) {
                 a.ended = true;
             }
-            if (how != Broken.MISSES_OUTCOMES || !now(9)) {
-                double latency = how == Broken.LEARNS_NONSENSE && now(9) ? Double.NaN : now - o.at();
+            if (how != BrokenModule.MISSES_OUTCOMES || !now(9)) {
+                double latency = how == BrokenModule.LEARNS_NONSENSE && now(9) ? Double.NaN : now - o.at();
                 balancer.onOutcome(now, o.request(), o.attempt(), outcome, latency, a.ended);
             }
             check();
@@ -218,7 +218,7 @@
                 breaks(Rule.DRAIN, "sent to " + server + ", told as " + s);
                 s = new Server(server, 0, 0, Lifecycle.GONE, 1, -1);
             }
-            int copies = how == Broken.SENDS_TWICE && now(9) ? 2 : 1;
+            int copies = how == BrokenModule.SENDS_TWICE && now(9) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 if (a.ended || a.out || a.tries >= 6 || a.mayHaveRun && a.type.effect() == Effect.ONCE) {
                     breaks(Rule.ONE_TRY, request + " sent, try " + a.tries + ", out " + a.out + ", ended " + a.ended);
@@ -233,10 +233,10 @@
 
         @Override
         public void reject(long request, double retryAfterMs) {
-            if (how == Broken.FORGETS_REFUSALS && now(5)) {
+            if (how == BrokenModule.FORGETS_REFUSALS && now(5)) {
                 return;
             }
-            double advice = how == Broken.GIVES_NO_ADVICE ? 0 : retryAfterMs;
+            double advice = how == BrokenModule.GIVES_NO_ADVICE ? 0 : retryAfterMs;
             if (!(advice > 0 && advice <= settings.limits().maxRetryAfterMs())) {
                 breaks(Rule.AT_ONCE, request + " told to come back in " + advice);
             }
@@ -244,12 +244,12 @@
             if (a.type.effect() == Effect.ONCE && (a.mayHaveRun || a.out)) {
                 breaks(Rule.ONE_TRY, request + " refused, though it may have run");
             }
-            if (how == Broken.WAITS_TO_REFUSE) {
+            if (how == BrokenModule.WAITS_TO_REFUSE) {
                 at(Math.max(0, a.deadline - now), () -> answer(request));
                 return;
             }
             answer(request);
-            if (how == Broken.REFUSES_TWICE && now(5)) {
+            if (how == BrokenModule.REFUSES_TWICE && now(5)) {
                 answer(request);
             }
         }
@@ -321,7 +321,7 @@
             }
         }
 
-        Play run() {
+        Simulation run() {
             int servers = new int[] {1, 2, 8}[random.nextInt(3)];
             list(ListKind.CACHED, some(servers));
             for (long id = 1; id <= REQUESTS; id++) {
@@ -366,7 +366,7 @@
     @Test
     void noRuleBreaksOnAnySeed() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Play play = new Play(seed, Broken.NOT).run();
+            Simulation play = new Simulation(seed, BrokenModule.NOT).run();
             assertEquals(Set.of(), play.broken, "seed " + seed + ": " + play.notes);
         }
     }
@@ -374,7 +374,7 @@
     /** As many servers as the group keeps, half of which drain at once. */
     @Test
     void noRuleBreaksWithTenThousandServers() {
-        Play play = new Play(1, Broken.NOT);
+        Simulation play = new Simulation(1, BrokenModule.NOT);
         List<Server> all = LongStream.rangeClosed(1, 10_000).mapToObj(id ->
                 new Server(id, (int) id % 3, 0, Lifecycle.READY, 1, 0)).toList();
         play.list(ListKind.FULL, all);
@@ -391,10 +391,10 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NOT")
-    void aModuleBrokenOnPurposeIsFound(Broken how) {
+    void aModuleBrokenOnPurposeIsFound(BrokenModule how) {
         Set<Rule> found = new TreeSet<>();
         for (long seed = 1; seed <= 5; seed++) {
-            found.addAll(new Play(seed, how).run().broken);
+            found.addAll(new Simulation(seed, how).run().broken);
         }
         assertTrue(found.contains(how.rule), how + " breaks " + found);
     }
--- a/src/test/java/rowanplank/balancer/FallCounter.java
+++ b/src/test/java/rowanplank/balancer/OverloadCounter.java
@@ -9,17 +9,17 @@
  * capacity x the window; the rule is broken if over two thirds of these came from nodes that were told of the start. Its
  * capacity is the least that the settings allow at its age.
  */
-final class FallCounter {
+final class OverloadCounter {
     private static final double MOST_BY_TOLD = 2.0 / 3;
 
     /** The settings' figures, and what the server carries once it is warm, in requests of mean work a millisecond. */
-    record Terms(double coldFrom, double coldMs, double fallMultiple, double fallMs, double warmRate) { }
+    record ServerTerms(double coldFrom, double coldMs, double fallMultiple, double fallMs, double warmRate) { }
 
-    private record Came(double at, double work, boolean told) { }
+    private record Arrival(double at, double work, boolean told) { }
 
-    private final Terms terms;
+    private final ServerTerms terms;
     private final double startedAt;
-    private final Deque<Came> came = new ArrayDeque<>();
+    private final Deque<Arrival> came = new ArrayDeque<>();
     private double all;
     private double byTold;
     /** The most that nodes that were told have sent in one window, as a part of what makes the server fall. */
@@ -27,7 +27,7 @@
     boolean fallen;
     boolean broken;
 
-    FallCounter(Terms terms, double startedAt) {
+    OverloadCounter(ServerTerms terms, double startedAt) {
         this.terms = terms;
         this.startedAt = startedAt;
     }
@@ -45,11 +45,11 @@
         if (fallen || now - startedAt >= terms.coldMs()) {
             return;
         }
-        came.add(new Came(now, work, told));
+        came.add(new Arrival(now, work, told));
         all += work;
         byTold += told ? work : 0;
         while (came.peek().at() <= now - terms.fallMs()) {
-            Came old = came.poll();
+            Arrival old = came.poll();
             all -= old.work();
             byTold -= old.told() ? old.work() : 0;
         }
--- a/src/test/java/rowanplank/balancer/FallCounterTest.java
+++ b/src/test/java/rowanplank/balancer/OverloadCounterTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The counter by written cases: N is 4 at the start, so that the server bears 4 + 4 + 2 requests a window. */
-class FallCounterTest {
-    private static final FallCounter.Terms TERMS = new FallCounter.Terms(0.1, 1_000_000, 2, 1000, 0.02);
+class OverloadCounterTest {
+    private static final OverloadCounter.ServerTerms TERMS = new OverloadCounter.ServerTerms(0.1, 1_000_000, 2, 1000, 0.02);
 
-    private static FallCounter after(int told, int untold, double gapMs) {
-        FallCounter counter = new FallCounter(TERMS, 0);
+    private static OverloadCounter after(int told, int untold, double gapMs) {
+        OverloadCounter counter = new OverloadCounter(TERMS, 0);
         for (int i = 0; i < told + untold; i++) {
             counter.came(1 + i * gapMs, 1, i < told);
         }
@@ -20,7 +20,7 @@
 
     @Test
     void itFallsWithOneMoreThanItBears() {
-        assertEquals(10, new FallCounter(TERMS, 0).bears(0), 1e-9);
+        assertEquals(10, new OverloadCounter(TERMS, 0).bears(0), 1e-9);
         assertFalse(after(10, 0, 1).fallen);
         assertTrue(after(11, 0, 1).fallen);
         assertTrue(after(11, 0, 1).broken);
@@ -41,7 +41,7 @@
 
     @Test
     void workCountsAndNotRequests() {
-        FallCounter counter = new FallCounter(TERMS, 0);
+        OverloadCounter counter = new OverloadCounter(TERMS, 0);
         for (int i = 0; i < 20; i++) {
             counter.came(1 + i, 0.5, true);
         }
@@ -52,7 +52,7 @@
 
     @Test
     void itBearsMoreAsItWarmsAndAllOnceItIsWarm() {
-        FallCounter counter = new FallCounter(TERMS, 0);
+        OverloadCounter counter = new OverloadCounter(TERMS, 0);
         assertTrue(counter.bears(500_000) > 2 * counter.bears(0));
         for (int i = 0; i < 500; i++) {
             counter.came(1_000_000 + i, 1, true);
--- a/src/test/java/rowanplank/balancer/HardCasesTest.java
+++ b/src/test/java/rowanplank/balancer/RecoveryTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rowanplank.balancer.MiniSite.Kind;
+import rowanplank.balancer.SimulatedSite.Kind;
 import rowanplank.neural.Neuron;
 import rowanplank.neural.RandomNeuralNetwork;
 
@@ -16,7 +16,7 @@
  * The first seconds after a trouble, and an instance that comes up empty on a hard day: whom the modules favour, by the
  * median of seven seeds. docs/audit-findings.md has the figures with their spread, and the answers in words.
  */
-class HardCasesTest {
+class RecoveryTest {
     private static final int SEEDS = 7;
     private static final double RATE = 60;
     private static final double RARE = 0.36;
@@ -31,8 +31,8 @@
     }
 
     /** One of ten servers is in trouble for 20 s, and all is well for a minute and a half after. */
-    private static MiniSite after(long seed, Kind kind, double size) {
-        MiniSite site = new MiniSite(seed, 3, RATE, RARE, ALIKE.clone());
+    private static SimulatedSite after(long seed, Kind kind, double size) {
+        SimulatedSite site = new SimulatedSite(seed, 3, RATE, RARE, ALIKE.clone());
         site.run(20_000);
         site.trouble(kind, size, TROUBLED);
         site.run(20_000);
@@ -41,7 +41,7 @@
         return site;
     }
 
-    private static double secondsToAnEqualShare(MiniSite site) {
+    private static double secondsToAnEqualShare(SimulatedSite site) {
         return site.secondsToShare(TROUBLED, site.now - 90_000, 0.9, 2000, s -> true);
     }
 
@@ -49,7 +49,7 @@
     @Test
     void aSilentServerIsFoundOutAndIsBackSoonAfter() {
         double share = median(seed -> {
-            MiniSite site = after(seed, Kind.SILENT, 1);
+            SimulatedSite site = after(seed, Kind.SILENT, 1);
             return site.share(TROUBLED, site.now - 100_000, site.now - 90_000, s -> true);
         });
         assertTrue(share <= 0.05, share + " of an equal share goes to a server that answers nothing");
@@ -68,7 +68,7 @@
     @Test
     void aServerThatIsBackIsNotCrowded() {
         double peak = median(seed -> {
-            MiniSite site = after(seed, Kind.SLOW, 8);
+            SimulatedSite site = after(seed, Kind.SLOW, 8);
             double since = site.now - 90_000;
             double most = 0;
             for (double at = since; at < since + 20_000; at += 250) {
@@ -81,7 +81,7 @@
 
     /** The share of a node's sends in a span, from when it restarted or not, that go to the three servers in trouble. */
     private static double toTheWorst(long seed, boolean empty, double from, double to) {
-        MiniSite site = new MiniSite(seed, 3, RATE, RARE, MIXED.clone());
+        SimulatedSite site = new SimulatedSite(seed, 3, RATE, RARE, MIXED.clone());
         site.run(15_000);
         site.trouble(Kind.SLOW, 6, WORST);
         site.run(10_000);
--- a/src/test/java/rowanplank/balancer/MiniSite.java
+++ b/src/test/java/rowanplank/balancer/SimulatedSite.java
@@ -27,7 +27,7 @@
  * for how long. An answer takes its work at its server's speed, longer the more the server holds for its two cores; a
  * withdrawn try runs on. Same seed, same run.
  */
-final class MiniSite {
+final class SimulatedSite {
     static final int COMMON = 0;
     static final int RARE = 1;
     static final double AIM = 680;
@@ -88,7 +88,7 @@
     private long requests;
 
     /** @param speeds of the servers, 1 for the usual one */
-    MiniSite(long seed, int nodes, double ratePerS, double rareShare, double... speeds) {
+    SimulatedSite(long seed, int nodes, double ratePerS, double rareShare, double... speeds) {
         random = new SplittableRandom(seed);
         servers = speeds.length;
         this.rareShare = rareShare;
--- a/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
+++ b/src/test/java/rowanplank/lab/net/PeerEndingsTest.java
@@ -27,7 +27,7 @@
 import rowanplank.balancer.BalancerApi.Request;
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.balancer.BalancerApi.Settings;
-import rowanplank.balancer.Inside;
+import rowanplank.balancer.BalancerInternals;
 import rowanplank.config.HostList;
 import rowanplank.config.HostList.Member;
 import rowanplank.config.SettingsReader;
@@ -320,7 +320,7 @@
             scene.play();
             assertEquals(ending.outcomes, scene.heard.outcomes);
             stage.run(stage.client(), () -> {
-                assertEquals(0, Inside.inFlight(scene.heard.balancer), "places held");
+                assertEquals(0, BalancerInternals.inFlight(scene.heard.balancer), "places held");
                 try {
                     assertEquals(0, scene.field("connections"), "connections held");
                 } catch (ReflectiveOperationException e) {
