--- a/src/main/java/rowanplank/balancer/Balancer.java
+++ b/src/main/java/rowanplank/balancer/Balancer.java
@@ -3,7 +3,7 @@
 import java.util.*;
 import java.util.stream.*;
 import rowanplank.balancer.BalancerApi.*;
-import rowanplank.balancer.NodeState.*;
+import rowanplank.balancer.BalancerState.*;
 import rowanplank.neural.*;
 import rowanplank.route.ZoneRouter;
 import rowanplank.subset.ColdStart;
--- a/src/main/java/rowanplank/balancer/NodeState.java
+++ b/src/main/java/rowanplank/balancer/BalancerState.java
@@ -8,8 +8,8 @@
 import rowanplank.neural.Neuron;
 
 /** What a {@link Balancer} remembers of servers and requests: plain records of fact, no decisions. */
-final class NodeState {
-    private NodeState() { }
+final class BalancerState {
+    private BalancerState() { }
 
     /** A server as this node sees it. */
     static final class ServerState {
--- a/src/test/java/rowanplank/balancer/ModuleRulesTest.java
+++ b/src/test/java/rowanplank/balancer/ModuleRulesTest.java
@@ -31,7 +31,7 @@
 import rowanplank.balancer.BalancerApi.Server;
 import rowanplank.balancer.BalancerApi.Settings;
 import rowanplank.neural.Neuron;
-import rowanplank.balancer.NodeState.ServerState;
+import rowanplank.balancer.BalancerState.ServerState;
 
 /**
  * The rules of the brief as properties of the module, over sequences of events drawn from fixed seeds: legal ones, and
