--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Executor;
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Write;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 import routerfleet.log.Loggers;
 import routerfleet.wire.PeerCodec;
 
@@ -76,10 +76,10 @@
 
     /** @return what the newer whole slot holds; null where there is none: the disk is empty */
     Opened open() throws IOException {
-        DiskForm.Recovered newest = null;
+        VoterFileCodec.Recovered newest = null;
         for (int i = 0; i < SLOTS; i++) {
             byte[] bytes = disk.read(slotName(i));
-            DiskForm.Recovered found = bytes == null ? null : DiskForm.recover(bytes);
+            VoterFileCodec.Recovered found = bytes == null ? null : VoterFileCodec.recover(bytes);
             if (found != null && (newest == null || sequence(found) > slotSequence)) {
                 newest = found;
                 slot = i;
@@ -163,7 +163,7 @@
         return "slot-" + index;
     }
 
-    private static long sequence(DiskForm.Recovered recovered) {
+    private static long sequence(VoterFileCodec.Recovered recovered) {
         return Long.parseLong(recovered.fleet());
     }
 
@@ -230,7 +230,7 @@
         List<byte[]> records = new ArrayList<>();
         int size = 0;
         for (Job job : jobs) {
-            DiskForm.Written written = DiskForm.write(newChain, job.write());
+            VoterFileCodec.Encoded written = VoterFileCodec.write(newChain, job.write());
             newChain = written.chain();
             records.add(written.bytes());
             size += written.bytes().length;
@@ -246,7 +246,7 @@
 
     private void switchSlot(Write.FullState whole) throws IOException {
         int other = nextSlot(slot);
-        DiskForm.Written written = DiskForm.anew(Long.toString(slotSequence + 1), replica, whole);
+        VoterFileCodec.Encoded written = VoterFileCodec.replacement(Long.toString(slotSequence + 1), replica, whole);
         Disk.DiskFile fresh = disk.open(slotName(other));
         try {
             fresh.clear();
--- a/src/main/java/rowanplank/cli/FleetInitCommand.java
+++ b/src/main/java/rowanplank/cli/FleetInitCommand.java
@@ -9,7 +9,7 @@
 import rowanplank.config.ConfigException;
 import rowanplank.config.FleetConfig;
 import rowanplank.config.OperatorFile;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.net.DirectoryFiles;
 import rowanplank.net.FileAccess;
 
@@ -26,7 +26,7 @@
             throw new ConfigException(file + ": fleet.voters: this node is no voter, and has no state");
         }
         try {
-            new DirectoryFiles().create(fleet.directory(), DiskForm.create(fleet.name(), fleet.node(),
+            new DirectoryFiles().create(fleet.directory(), VoterFileCodec.create(fleet.name(), fleet.node(),
                     List.copyOf(fleet.voters().keySet())).bytes());
         } catch (FileAlreadyExistsException e) {
             return Status.failed(Status.FAILED, fleet.directory() + ": there is a voter's state already");
--- a/src/main/java/rowanplank/cli/LabFleetCommand.java
+++ b/src/main/java/rowanplank/cli/LabFleetCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.hunt.TrialShrink;
 import rowanplank.lab.trial.Plants;
 import rowanplank.lab.trial.TrialCase;
@@ -135,7 +135,7 @@
         Duration length = Duration.ofSeconds(seconds);
         TrialPlan plan = new TrialPlan(trial.kind, trial.nodes, s, length, Duration.ofSeconds(4), trial.lease(), trial.faults,
                 trial.gap(), List.of(), List.of(), "");
-        Parts parts = trial.plant == null ? new Parts() : Plants.parts(trial.plant);
+        FleetComponents parts = trial.plant == null ? new FleetComponents() : Plants.parts(trial.plant);
         return new VirtualTrial(VirtualTrial.Setting.of(plan, drift, parts)).play();
     }
 }
--- a/src/main/java/rowanplank/cli/Serve.java
+++ b/src/main/java/rowanplank/cli/Serve.java
@@ -11,8 +11,8 @@
 import rowanplank.config.FleetConfig;
 import rowanplank.config.NodeConfig;
 import rowanplank.config.OperatorFile;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
+import rowanplank.fleet.FleetNode;
 import rowanplank.metrics.RateLimitedLog;
 import rowanplank.net.Clock;
 import rowanplank.net.DirectoryFiles;
@@ -69,11 +69,11 @@
     }
 
     /** One node as the operator's file has it. @return the exit status, where the node does not come up */
-    static int run(String file, Parts parts) throws Exception {
+    static int run(String file, FleetComponents parts) throws Exception {
         return run(file, parts, new SystemClock());
     }
 
-    static int run(String file, Parts parts, Clock clock) throws Exception {
+    static int run(String file, FleetComponents parts, Clock clock) throws Exception {
         CompletableFuture<Running> started = new CompletableFuture<>();
         Hangup.handle(() -> started.thenAccept(running -> running.loop().execute(() -> reload(running, file))));
         try {
@@ -94,7 +94,7 @@
      * @param fleet null where the node has no part in one
      * @param told the operator's file that is in force, where there is one
      */
-    private record Running(Node node, Fleet fleet, SelectorLoop loop, AtomicReference<OperatorFile> told, RateLimitedLog log) { }
+    private record Running(Node node, FleetNode fleet, SelectorLoop loop, AtomicReference<OperatorFile> told, RateLimitedLog log) { }
 
     /** All of the file, or nothing of it. */
     private static void reload(Running running, String file) {
@@ -114,7 +114,7 @@
         }
     }
 
-    private static Running start(NodeConfig config, FleetConfig fleetConfig, Parts parts, Clock clock)
+    private static Running start(NodeConfig config, FleetConfig fleetConfig, FleetComponents parts, Clock clock)
             throws Exception {
         RateLimitedLog log = new RateLimitedLog(clock, RateLimitedLog.Sink.system());
         SelectorLoop loop = new SelectorLoop(clock, e -> log.warn("unexpected failure in the event loop", e));
@@ -123,8 +123,8 @@
         }
         Node node = new Node(config, loop, log);
         loop.start();
-        Fleet fleet = fleetConfig == null ? null : loop.call(() -> new Fleet(fleetConfig, incarnation(clock), parts,
-                new Fleet.Machine(loop, new DirectoryFiles(), WholeFiles.system(loop), Programs.system(loop), log)));
+        FleetNode fleet = fleetConfig == null ? null : loop.call(() -> new FleetNode(fleetConfig, incarnation(clock), parts,
+                new FleetNode.Platform(loop, new DirectoryFiles(), WholeFiles.system(loop), Programs.system(loop), log)));
         loop.call(() -> {
             if (fleet != null) {
                 node.join(fleet);
--- a/src/main/java/rowanplank/cli/ServeCommand.java
+++ b/src/main/java/rowanplank/cli/ServeCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 
 @Command(name = "serve", description = {"One node on the machine's own sockets, until it is told to stop.",
     "EDGE_CONFIG names its configuration; EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY go before what stands there."})
@@ -23,6 +23,6 @@
         if (endWithInput) {
             Serve.endWithInput();
         }
-        return file == null ? Serve.run(System.getenv()) : Serve.run(file, new Parts());
+        return file == null ? Serve.run(System.getenv()) : Serve.run(file, new FleetComponents());
     }
 }
--- a/src/main/java/rowanplank/cli/StandInNode.java
+++ b/src/main/java/rowanplank/cli/StandInNode.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.StandInParts;
 import rowanplank.net.Clock;
 import rowanplank.net.SystemClock;
@@ -16,10 +16,10 @@
 
     /** @param args the rate of its clock, the bytes of entries in a message, and the operator's file */
     public static void main(String[] args) throws Exception {
-        run(new Parts(), args[0], args[1], args[2]);
+        run(new FleetComponents(), args[0], args[1], args[2]);
     }
 
-    static void run(Parts parts, String clockRate, String mostBytes, String file) throws Exception {
+    static void run(FleetComponents parts, String clockRate, String mostBytes, String file) throws Exception {
         LimitedLoggers.use();
         Serve.endWithInput();
         double rate = Double.parseDouble(clockRate);
--- a/src/main/java/rowanplank/fleet/Sharing.java
+++ b/src/main/java/rowanplank/fleet/BudgetMapping.java
@@ -16,13 +16,13 @@
 import rowanplank.ledger.Share;
 
 /** Budgets between the words of the operator's file, those of the ledger, and those that staff read. */
-final class Sharing {
+final class BudgetMapping {
     /** The budgets of page servers are called so, and their ids. */
     static final String PLACES = "place/";
     /** And those of page servers while they are cold, so. */
     static final String COLD = "cold/";
 
-    private Sharing() { }
+    private BudgetMapping() { }
 
     /** Those of the file, as the ledger is to know them. */
     static List<Command.Define> defined(FleetConfig.Sharing sharing) {
--- a/src/main/java/rowanplank/fleet/Parts.java
+++ b/src/main/java/rowanplank/fleet/FleetComponents.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.RaftNode;
-import rowanplank.fleet.wire.LedgerForm;
+import rowanplank.fleet.wire.LedgerCodec;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.BudgetHolder;
 import rowanplank.ledger.Desk;
@@ -16,7 +16,7 @@
 import rowanplank.net.StateFile;
 
 /** What a fleet's node is made of. The laboratory and the trial put parts with a planted fault in their places. */
-public class Parts {
+public class FleetComponents {
     public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return new RaftNode(settings, saved, now, actions);
     }
@@ -54,8 +54,8 @@
     }
 
     /** The latest version of the ledger's entries that this node understands. */
-    public int knows() {
-        return LedgerForm.VERSION;
+    public int understoodVersion() {
+        return LedgerCodec.VERSION;
     }
 
     public StateFile.Files files(StateFile.Files machine) {
--- a/src/main/java/rowanplank/fleet/Fleet.java
+++ b/src/main/java/rowanplank/fleet/FleetNode.java
@@ -21,10 +21,10 @@
 import rowanplank.config.FleetConfig;
 import rowanplank.decision.FleetLimits;
 import rowanplank.decision.ServerSlots;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.fleet.wire.Envelope;
-import rowanplank.fleet.wire.EnvelopeForm;
-import rowanplank.fleet.wire.LedgerForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.EnvelopeCodec;
+import rowanplank.fleet.wire.LedgerCodec;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Asker;
 import rowanplank.ledger.BudgetHolder;
@@ -49,7 +49,7 @@
  * <p>Voters are sent to at the addresses of the file; whoever asks is answered where it asked from. The last
  * {@value #MOST_ASKERS} of those are remembered.
  */
-public final class Fleet {
+public final class FleetNode {
     private static final int MOST_ASKERS = 4096;
     private static final Duration RETRY = Duration.ofMillis(150);
     private static final Duration PARK = Duration.ofSeconds(1);
@@ -60,7 +60,7 @@
     private static final Duration PATIENCE = Duration.ofSeconds(2);
 
     /** What it has of the machine. */
-    public record Machine(Loop loop, StateFile.Files files, WholeFiles pictures, Programs programs, RateLimitedLog log) { }
+    public record Platform(Loop loop, StateFile.Files files, WholeFiles pictures, Programs programs, RateLimitedLog log) { }
 
     /** The node's clients, as the order of work takes them from it and gives them back. */
     public interface Clients {
@@ -107,11 +107,11 @@
 
     private FleetConfig config;
     private final long incarnation;
-    private final Parts parts;
-    private final Machine machine;
+    private final FleetComponents parts;
+    private final Platform machine;
     private final Loop loop;
-    private final EnvelopeForm form;
-    private final Turns turns;
+    private final EnvelopeCodec form;
+    private final SerialExecutor turns;
     private final LeaseHolder holder;
     /** Its session's number of this process: no other one's is below zero. */
     private final long budgetsIncarnation;
@@ -119,12 +119,12 @@
     private final WorkerRunner workers;
     /** Null before the start, and where it has no part in an order of work. */
     private WorkHolder work;
-    private final Lately lately = new Lately();
+    private final ServiceWindow lately = new ServiceWindow();
     /** The latest version of the ledger's entries that each voter's process has said it understands. */
     private final Map<String, Integer> known = new TreeMap<>();
     /** Null where places at page servers are not shared. */
-    private final PlaceKeeper places;
-    private final RateKeeper rates;
+    private final SlotLimiter places;
+    private final RateLimiter rates;
     private final Asker asker;
     private final Membership members;
     private final TaskRunner tasks;
@@ -157,31 +157,31 @@
     private Instant twinHeard;
 
     /** @param incarnation tells this process from all others of the node's name, before and after it */
-    public Fleet(FleetConfig config, long incarnation, Parts parts, Machine machine) {
+    public FleetNode(FleetConfig config, long incarnation, FleetComponents parts, Platform machine) {
         this.config = config;
         this.incarnation = incarnation;
         this.parts = parts;
         this.machine = machine;
         loop = machine.loop();
-        form = new EnvelopeForm(config.name());
-        turns = new Turns(this::sleep, this::failed);
+        form = new EnvelopeCodec(config.name());
+        turns = new SerialExecutor(this::sleep, this::failed);
         LeaseHolder.Settings settings = new LeaseHolder.Settings(config.node(), incarnation,
                 List.copyOf(config.addresses().keySet()), RETRY, PARK, config.timing().session());
-        holder = parts.holder(settings, loop.clock().now(), new Holding());
+        holder = parts.holder(settings, loop.clock().now(), new LeaseActions());
         budgetsIncarnation = -incarnation;
         budgets = parts.budgetHolder(new BudgetHolder.Settings(config.node(), budgetsIncarnation,
                 List.copyOf(config.addresses().keySet()), RETRY, config.sharing().part(), config.sharing().longestUse(),
-                config.timing().drift()), loop.clock().now(), new Sharers());
-        asker = new Asker(settings, PATIENCE, new Asking());
+                config.timing().drift()), loop.clock().now(), new BudgetActions());
+        asker = new Asker(settings, PATIENCE, new RequestActions());
         members = parts.membership(new Membership.Settings(config.node(), Addresses.format(config.advertised()),
-                incarnation, reached(), config.timing().probe(), incarnation), loop.clock().now(), new Meeting());
-        Programs programs = new PictureProgram(() -> this.config.pictures(), this::status, machine.pictures(),
+                incarnation, reached(), config.timing().probe(), incarnation), loop.clock().now(), new MembershipActions());
+        Programs programs = new StatusFileProgram(() -> this.config.pictures(), this::status, machine.pictures(),
                 machine.log(), machine.programs());
         tasks = new TaskRunner(config, loop, programs, machine.log(), parts, holder, () -> turns.run(this::runTasks));
         places = config.sharing().places() == null ? null
-                : new PlaceKeeper(config.sharing().places(), config.node(), loop, budgets, () -> turns.run(this::share),
+                : new SlotLimiter(config.sharing().places(), config.node(), loop, budgets, () -> turns.run(this::share),
                         () -> turns.run(() -> budgets.onTime(loop.clock().now())));
-        rates = new RateKeeper(config.sharing(), loop, budgets);
+        rates = new RateLimiter(config.sharing(), loop, budgets);
         workers = new WorkerRunner(config.node(), loop, machine.programs(), machine.log(), parts, budgets,
                 () -> turns.run(this::runTasks));
     }
@@ -205,12 +205,12 @@
     }
 
     /** What says whether this node takes clients; to be told before the start. */
-    public void servesBy(BooleanSupplier ready) {
-        serves(Clients.servedBy(ready));
+    public void setReadyCheck(BooleanSupplier ready) {
+        setClients(Clients.servedBy(ready));
     }
 
     /** Whom this node serves; to be told before the start. */
-    public void serves(Clients all) {
+    public void setClients(Clients all) {
         clients = all;
     }
 
@@ -223,10 +223,10 @@
         if (config.isVoter()) {
             StateFile file = parts.files(machine.files()).open(config.directory(), loop,
                     e -> halt("the disk failed: " + e.getMessage() + "; this voter takes no part any more"));
-            voter = new Voter(config, incarnation, parts, file, turns, new Outside());
+            voter = new Voter(config, incarnation, parts, file, turns, new VoterEnvironment());
         }
         try {
-            socket = loop.datagrams(config.listen(), EnvelopeForm.MOST_BYTES, this::received);
+            socket = loop.datagrams(config.listen(), EnvelopeCodec.MAX_DATAGRAM_BYTES, this::received);
         } catch (IOException e) {
             throw new IOException("can't listen at " + Addresses.format(config.listen()) + ": " + e.getMessage(), e);
         }
@@ -238,7 +238,7 @@
             FleetConfig.Order order = config.order();
             turns.run(() -> work = parts.workHolder(new WorkHolder.Settings(config.node(), incarnation, order.machine(),
                     order.hall(), List.copyOf(config.addresses().keySet()), POLL, Voter.TURN_VALID, order.settle(),
-                    order.servesAlone(), order.aloneAfter()), loop.clock().now(), new Working()));
+                    order.servesAlone(), order.aloneAfter()), loop.clock().now(), new WorkActions()));
         }
     }
 
@@ -246,7 +246,7 @@
     private void share() {
         Instant now = loop.clock().now();
         FleetConfig.Sharing sharing = config.sharing();
-        Map<String, Command.Define> used = Sharing.byName(sharing);
+        Map<String, Command.Define> used = BudgetMapping.byName(sharing);
         used.putAll(places == null ? new TreeMap<>() : places.budgets(sharing));
         budgets.budgets(now, used, sharing.longestUse());
         WorkerRunner.wishes(sharing.budgets(), sharing.workers()).forEach(budgets::wish);
@@ -256,7 +256,7 @@
         }
         budgets.onTime(now);
         workers.replace(now, sharing.workers());
-        turns.then(this::runTasks);
+        turns.runLater(this::runTasks);
     }
 
     /**
@@ -391,7 +391,7 @@
             }
             members.setServing(clients.isReady());
             members.onTime(now);
-            turns.then(this::runTasks);
+            turns.runLater(this::runTasks);
             if (voter != null && halted == null) {
                 voter.onTime(now);
             }
@@ -418,7 +418,7 @@
         }
         Instant now = loop.clock().now();
         if (config.addresses().containsKey(e.sender())) {
-            known.put(e.sender(), e.knows());
+            known.put(e.sender(), e.understoodVersion());
         }
         if (e.answer() != null) {
             turns.run(() -> take(now, e.answer()));
@@ -426,11 +426,11 @@
             askers.remove(e.incarnation());
             askers.put(e.incarnation(), from);
             asked(now, e.ask());
-        } else if (e.note() != null) {
-            turns.run(() -> members.onMessage(now, e.sender(), Addresses.format(from), e.note()));
+        } else if (e.gossip() != null) {
+            turns.run(() -> members.onMessage(now, e.sender(), Addresses.format(from), e.gossip()));
         } else if (voter != null && halted == null && config.addresses().containsKey(e.sender())
                 && !e.sender().equals(config.node())) {
-            voter.heardOf(e.sender(), e.knows());
+            voter.heardOf(e.sender(), e.understoodVersion());
             voter.onMessage(now, e.sender(), e.message());
         }
     }
@@ -481,37 +481,37 @@
 
     private void tell(Ask.Answer answer) {
         if (Math.abs(answer.incarnation()) == incarnation) {
-            turns.then(() -> take(loop.clock().now(), answer));
+            turns.runLater(() -> take(loop.clock().now(), answer));
             return;
         }
         InetSocketAddress to = askers.get(answer.incarnation());
         if (to != null) {
-            send(to, Envelope.of(config.node(), incarnation, parts.knows(), answer));
+            send(to, Envelope.of(config.node(), incarnation, parts.understoodVersion(), answer));
         }
     }
 
-    private final class Outside implements Voter.Outside {
+    private final class VoterEnvironment implements Voter.Environment {
         @Override
         public void send(String to, Message message) {
             InetSocketAddress address = config.addresses().get(to);
             if (address != null) {
-                Fleet.this.send(address, Envelope.of(config.node(), incarnation, parts.knows(), message));
+                FleetNode.this.send(address, Envelope.of(config.node(), incarnation, parts.understoodVersion(), message));
             }
         }
 
         @Override
         public void answer(Ask ask, Ask.Answer answer) {
-            Fleet.this.answer(ask, answer);
+            FleetNode.this.answer(ask, answer);
         }
 
         @Override
         public void tell(Ask.Answer answer) {
-            Fleet.this.tell(answer);
+            FleetNode.this.tell(answer);
         }
 
         @Override
         public void halt(String why) {
-            Fleet.this.halt(why);
+            FleetNode.this.halt(why);
         }
 
         @Override
@@ -541,14 +541,14 @@
 
         @Override
         public String work() {
-            return Pieces.ascii(workStatus().toString());
+            return PagedJsonReader.ascii(workStatus().toString());
         }
     }
 
-    private final class Working implements WorkHolder.Actions {
+    private final class WorkActions implements WorkHolder.Actions {
         @Override
         public void ask(String target, Ask ask) {
-            Fleet.this.ask(target, ask);
+            FleetNode.this.ask(target, ask);
         }
 
         @Override
@@ -583,32 +583,32 @@
 
     private void ask(String target, Ask ask) {
         if (target.equals(config.node())) {
-            turns.then(() -> asked(loop.clock().now(), ask));
+            turns.runLater(() -> asked(loop.clock().now(), ask));
         } else {
-            send(config.addresses().get(target), Envelope.of(config.node(), ask.incarnation(), parts.knows(),
-                    LedgerForm.asUnderstood(ask, Math.min(parts.knows(), known.getOrDefault(target, LedgerForm.FIRST)))));
+            send(config.addresses().get(target), Envelope.of(config.node(), ask.incarnation(), parts.understoodVersion(),
+                    LedgerCodec.downgrade(ask, Math.min(parts.understoodVersion(), known.getOrDefault(target, LedgerCodec.FIRST_VERSION)))));
         }
     }
 
-    private final class Sharers implements BudgetHolder.Actions {
+    private final class BudgetActions implements BudgetHolder.Actions {
         @Override
         public void ask(String target, Ask ask) {
-            Fleet.this.ask(target, ask);
+            FleetNode.this.ask(target, ask);
         }
 
         @Override
         public void more(String budget) {
-            turns.then(() -> {
+            turns.runLater(() -> {
                 workers.more(loop.clock().now(), budget);
                 runTasks();
             });
         }
     }
 
-    private final class Asking implements Asker.Actions {
+    private final class RequestActions implements Asker.Actions {
         @Override
         public void ask(String target, Ask ask) {
-            Fleet.this.ask(target, ask);
+            FleetNode.this.ask(target, ask);
         }
 
         @Override
@@ -617,11 +617,11 @@
         }
     }
 
-    private final class Meeting implements Membership.Actions {
+    private final class MembershipActions implements Membership.Actions {
         @Override
         public void send(String address, GossipMessage note) {
             try {
-                Fleet.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, parts.knows(), note));
+                FleetNode.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, parts.understoodVersion(), note));
             } catch (ConfigException e) {
                 dropped++; // a member says that it is at no address at all
             }
@@ -635,7 +635,7 @@
 
         @Override
         public void duplicateName(String address) {
-            Fleet.this.twin(address);
+            FleetNode.this.twin(address);
         }
     }
 
@@ -660,16 +660,16 @@
         }
     }
 
-    private final class Holding implements LeaseHolder.Actions {
+    private final class LeaseActions implements LeaseHolder.Actions {
         @Override
         public void ask(String target, Ask ask) {
-            Fleet.this.ask(target, ask);
+            FleetNode.this.ask(target, ask);
         }
 
         @Override
         public void granted(String lease, long fence) {
             machine.log().info("lease " + lease + " is held by " + config.node() + " under fence " + fence);
-            turns.then(() -> {
+            turns.runLater(() -> {
                 Instant now = loop.clock().now();
                 tasks.granted(now, lease);
                 tasks.onTime(now);
@@ -684,7 +684,7 @@
 
         @Override
         public void claimed(String task, long period, Result result) {
-            turns.then(() -> {
+            turns.runLater(() -> {
                 Instant now = loop.clock().now();
                 tasks.claimed(now, task, period, result);
                 tasks.onTime(now);
@@ -743,7 +743,7 @@
      *
      * @param told what a leader said, never within this call; null where none could be found in time
      */
-    public void read(String lease, Consumer<Result> told) {
+    public void readLease(String lease, Consumer<Result> told) {
         ask(new Ask.Read(lease), told);
     }
 
@@ -752,7 +752,7 @@
      *
      * @param told what came of it, never within this call; null where it is not known: to be asked again by its number
      */
-    public void say(Command.Staff words, Consumer<Result> told) {
+    public void submitStaffCommand(Command.Staff words, Consumer<Result> told) {
         ask(new Ask.Staff(words), told);
     }
 
@@ -765,7 +765,7 @@
         if (voter == null || config.order() == null || machines.stream().anyMatch(m -> voter.ledger().work().nodesOf(m).isEmpty())) {
             return null;
         }
-        return new JsonObject().add("plan", WorkText.plan(voter.waits(work == null ? "" : work.standing(), machines, first)));
+        return new JsonObject().add("plan", WorkStatusJson.plan(voter.waits(work == null ? "" : work.standing(), machines, first)));
     }
 
     private void ask(Ask.What what, Consumer<Result> told) {
@@ -840,7 +840,7 @@
         }
         for (FleetConfig.Budget b : config.sharing().budgets()) {
             if (b.name().equals(name)) {
-                return voter.resize(name, Sharing.whole(b, whole, config.sharing()));
+                return voter.resize(name, BudgetMapping.whole(b, whole, config.sharing()));
             }
         }
         return "there is no budget of that name in this node's file: " + name;
@@ -854,7 +854,7 @@
     /** What this voter knows of the order of work. */
     private JsonObject workStatus() {
         String told = work == null ? "" : work.standing();
-        return WorkText.status(voter.ledger().work(), halted == null ? voter.standing(told) : "this voter takes no part any more",
+        return WorkStatusJson.status(voter.ledger().work(), halted == null ? voter.standing(told) : "this voter takes no part any more",
                 voter.waits(told, List.of(), false));
     }
 
@@ -863,12 +863,12 @@
      *
      * @param told never within this call; null where nobody could say
      */
-    public void work(Consumer<JsonObject> told) {
+    public void requestWorkStatus(Consumer<JsonObject> told) {
         if (config.order() == null) {
             loop.execute(() -> told.accept(null));
             return;
         }
-        new Pieces((from, piece) -> ask(new Ask.Look(from), piece),
+        new PagedJsonReader((from, piece) -> ask(new Ask.Look(from), piece),
                 whole -> told.accept(whole == null && voter != null ? workStatus() : whole)).begin();
     }
 
@@ -910,10 +910,10 @@
             }
         }
         if (work != null) {
-            o.add("turn", WorkText.own(config.order().machine(), work));
+            o.add("turn", WorkStatusJson.own(config.order().machine(), work));
         }
         if (config.sharing().places() != null || !config.sharing().budgets().isEmpty()) {
-            o.add("parts", Sharing.has(budgets, config.sharing(), now)).add("workers_begun", workers.begun());
+            o.add("parts", BudgetMapping.has(budgets, config.sharing(), now)).add("workers_begun", workers.begun());
         }
         return o.add("holds", held).add("runs_begun", tasks.begun()).add("runs_ended", tasks.ended());
     }
@@ -941,6 +941,6 @@
         JsonArray runs = new JsonArray();
         l.runs().forEach(r -> runs.add(new JsonObject().add("task", r.task()).add("period", r.period())
                 .add("fence", r.fence())));
-        o.add("leases", leases).add("runs", runs).add("budgets", Sharing.status(l));
+        o.add("leases", leases).add("runs", runs).add("budgets", BudgetMapping.status(l));
     }
 }
--- a/src/main/java/rowanplank/fleet/Pieces.java
+++ b/src/main/java/rowanplank/fleet/PagedJsonReader.java
@@ -9,7 +9,7 @@
 import rowanplank.ledger.Result;
 
 /** One text of the leader's, asked for piece by piece, since a datagram holds no more; begun anew where it changed meanwhile. */
-final class Pieces {
+final class PagedJsonReader {
     private static final int MOST_BEGINNINGS = 5;
 
     private final BiConsumer<Integer, Consumer<Result>> ask;
@@ -19,7 +19,7 @@
     private int begun;
 
     /** @param ask for the piece from so many letters on; answered with null where nobody could say */
-    Pieces(BiConsumer<Integer, Consumer<Result>> ask, Consumer<JsonObject> told) {
+    PagedJsonReader(BiConsumer<Integer, Consumer<Result>> ask, Consumer<JsonObject> told) {
         this.ask = ask;
         this.told = told;
     }
--- a/src/main/java/rowanplank/fleet/RateKeeper.java
+++ b/src/main/java/rowanplank/fleet/RateLimiter.java
@@ -21,7 +21,7 @@
  *
  * <p>A look, four times a second, costs O(1), as each question does but for O(log budgets).
  */
-final class RateKeeper implements FleetLimits {
+final class RateLimiter implements FleetLimits {
     private static final Duration LOOK = Duration.ofMillis(250);
     private static final double LOOKS_A_SECOND = 4;
     private static final double FORGET = 0.9;
@@ -54,7 +54,7 @@
     private double saved = MOST_SAVED;
     private Instant nextLook;
 
-    RateKeeper(FleetConfig.Sharing sharing, Loop loop, BudgetHolder holder) {
+    RateLimiter(FleetConfig.Sharing sharing, Loop loop, BudgetHolder holder) {
         this.loop = loop;
         this.holder = holder;
         tries = use(sharing, sharing.uses().tries());
--- a/src/main/java/rowanplank/fleet/Turns.java
+++ b/src/main/java/rowanplank/fleet/SerialExecutor.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Runs one event after the other: what an event brings about runs once it is over, in the order of its being asked. */
-final class Turns {
+final class SerialExecutor {
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private final Runnable afterAll;
     private final Consumer<Throwable> failed;
@@ -15,7 +15,7 @@
      * @param afterAll run each time when nothing waits any more
      * @param failed told what was never to happen; what waited is dropped
      */
-    Turns(Runnable afterAll, Consumer<Throwable> failed) {
+    SerialExecutor(Runnable afterAll, Consumer<Throwable> failed) {
         this.afterAll = afterAll;
         this.failed = failed;
     }
@@ -41,7 +41,7 @@
     }
 
     /** Runs it after the event that runs now. */
-    void then(Runnable event) {
+    void runLater(Runnable event) {
         run(event);
     }
 }
--- a/src/main/java/rowanplank/fleet/Lately.java
+++ b/src/main/java/rowanplank/fleet/ServiceWindow.java
@@ -10,7 +10,7 @@
  * How a node has served in the last {@link #SPAN}, from what it has counted since its start. Looked at more often than
  * each {@link #EVERY}, it notes the last look only; it holds {@value #MOST} of them.
  */
-final class Lately {
+final class ServiceWindow {
     static final Duration SPAN = Duration.ofSeconds(10);
     private static final Duration EVERY = Duration.ofMillis(250);
     private static final int MOST = 64;
--- a/src/main/java/rowanplank/fleet/PlaceKeeper.java
+++ b/src/main/java/rowanplank/fleet/SlotLimiter.java
@@ -32,7 +32,7 @@
  * <p>Bound: {@value #MOST} servers; others have no places here. A look, four times a second, costs O(servers); a try
  * O(log servers).
  */
-final class PlaceKeeper implements ServerSlots {
+final class SlotLimiter implements ServerSlots {
     private static final int MOST = 800;
     private static final Duration LOOK = Duration.ofMillis(250);
     /** Of what was in use at once, so much is forgotten with each look, once nothing like it has been since. */
@@ -47,7 +47,7 @@
     private static final double WORTH_STEP = 1.25;
     private static final double LEAST_WORTH = 0.01;
 
-    private static final class Place {
+    private static final class Slots {
         final String name;
         /** Of the budget that bounds it while it is cold, and until when that is; null where nothing does. */
         final String coldName;
@@ -68,11 +68,11 @@
         /** It comes the earlier among them the less this is; another order at each node, and always the same there. */
         final double lot;
 
-        Place(long server, boolean own, double lot) {
+        Slots(long server, boolean own, double lot) {
             this.own = own;
             this.lot = lot;
-            coldName = Sharing.COLD + Long.toUnsignedString(server, Character.MAX_RADIX);
-            name = Sharing.PLACES + Long.toUnsignedString(server, Character.MAX_RADIX);
+            coldName = BudgetMapping.COLD + Long.toUnsignedString(server, Character.MAX_RADIX);
+            name = BudgetMapping.PLACES + Long.toUnsignedString(server, Character.MAX_RADIX);
         }
     }
 
@@ -81,9 +81,9 @@
     private final BudgetHolder holder;
     private final Runnable listed;
     private final Runnable fits;
-    private final Map<Long, Place> places = new TreeMap<>();
+    private final Map<Long, Slots> places = new TreeMap<>();
     /** Those that are listed, in this node's order. */
-    private List<Place> order = List.of();
+    private List<Slots> order = List.of();
     private final long node;
     private Runnable usable = () -> { };
     private Instant nextLook;
@@ -93,7 +93,7 @@
      * @param listed run when there are other servers than before
      * @param fits run when something may be given back
      */
-    PlaceKeeper(FleetConfig.Places config, String node, Loop loop, BudgetHolder holder, Runnable listed, Runnable fits) {
+    SlotLimiter(FleetConfig.Places config, String node, Loop loop, BudgetHolder holder, Runnable listed, Runnable fits) {
         this.config = config;
         this.node = LongHashFunction.xx().hashChars(node);
         this.loop = loop;
@@ -107,10 +107,10 @@
     Map<String, Command.Define> budgets(FleetConfig.Sharing sharing) {
         Map<String, Command.Define> all = new TreeMap<>();
         Instant now = loop.clock().now();
-        for (Place p : places.values()) {
-            all.put(p.name, Sharing.placesOf(sharing, p.name));
+        for (Slots p : places.values()) {
+            all.put(p.name, BudgetMapping.placesOf(sharing, p.name));
             if (p.coldOpen > 0 || isCold(now, p)) {
-                all.put(p.coldName, Sharing.placesOf(sharing, p.coldName));
+                all.put(p.coldName, BudgetMapping.placesOf(sharing, p.coldName));
             }
         }
         return all;
@@ -118,22 +118,22 @@
 
     @Override
     public double limit(long server) {
-        Place p = places.get(server);
+        Slots p = places.get(server);
         return p == null ? 0 : at(p);
     }
 
-    private double at(Place p) {
+    private double at(Slots p) {
         Instant now = loop.clock().now();
         long most = p.gone ? 0 : holder.limit(now, p.name);
         return Math.max(0, isCold(now, p) ? Math.min(most, holder.limit(now, p.coldName)) : most);
     }
 
-    private static boolean isCold(Instant now, Place p) {
+    private static boolean isCold(Instant now, Slots p) {
         return p.coldUntil != null && now.isBefore(p.coldUntil);
     }
 
     /** One that is cold needs a use of both. */
-    private boolean begin(Instant now, Place p) {
+    private boolean begin(Instant now, Slots p) {
         boolean cold = isCold(now, p);
         if (cold && holder.begin(now, p.coldName) < 0) {
             return false;
@@ -148,7 +148,7 @@
 
     @Override
     public boolean tryAcquire(long server, double worth) {
-        Place p = places.get(server);
+        Slots p = places.get(server);
         if (p == null) {
             return false;
         }
@@ -162,7 +162,7 @@
 
     @Override
     public void release(long server, boolean heard) {
-        Place p = places.get(server);
+        Slots p = places.get(server);
         if (p == null) {
             return;
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    private void ended(Place p) {
+    private void ended(Slots p) {
         p.open--;
         boolean fit = holder.end(p.name);
         if (p.coldOpen > p.open) {
@@ -189,9 +189,9 @@
     public void updateServers(List<Server> changed, boolean complete, Settings site) {
         places.values().forEach(p -> p.gone |= complete);
         for (Server s : changed) {
-            Place p = places.get(s.id());
+            Slots p = places.get(s.id());
             if (s.lifecycle() == Lifecycle.READY && (p != null || places.size() < MOST)) {
-                Place listedNow = places.computeIfAbsent(s.id(), id -> new Place(id, s.zone() == site.zone(), lot(id)));
+                Slots listedNow = places.computeIfAbsent(s.id(), id -> new Slots(id, s.zone() == site.zone(), lot(id)));
                 listedNow.gone = false;
                 listedNow.coldUntil = config.cold() == 0 || s.startedAtMs() == 0 ? null
                         : Instant.ofEpochMilli((long) Math.ceil(s.startedAtMs() + site.rules().warmupMs()));
@@ -201,7 +201,7 @@
         }
         places.values().removeIf(p -> p.gone && p.open == 0);
         order = places.values().stream().filter(p -> !p.gone)
-                .sorted(Comparator.comparingDouble((Place p) -> p.lot)).toList();
+                .sorted(Comparator.comparingDouble((Slots p) -> p.lot)).toList();
         choose();
         listed.run();
     }
@@ -213,7 +213,7 @@
     /** Of three wanted, two in the own hall, while there are such; the first ones in this node's order of each. */
     private void choose() {
         double tries = 0;
-        for (Place p : order) {
+        for (Slots p : order) {
             tries += p.lately;
             p.wanted = p.open > 0;
         }
@@ -221,7 +221,7 @@
         int own = 0;
         int others = 0;
         long owns = order.stream().filter(p -> p.own).count();
-        for (Place p : order) {
+        for (Slots p : order) {
             long room = p.own ? Math.max(wanted * OWN_OF_THREE / THREE, wanted - (order.size() - owns))
                     : wanted - Math.min(owns, wanted * OWN_OF_THREE / THREE);
             p.wanted |= (p.own ? own++ : others++) < room;
@@ -254,7 +254,7 @@
             boolean more = false;
             boolean warm = false;
             choose();
-            for (Place p : places.values()) {
+            for (Slots p : places.values()) {
                 boolean before = p.usable;
                 p.usable = at(p) > 0;
                 more |= p.usable && !before;
@@ -276,7 +276,7 @@
         }
     }
 
-    private void wish(Place p) {
+    private void wish(Slots p) {
         boolean unused = p.gone || !p.wanted;
         long more = Math.min(config.whole(), 1 + (long) Math.ceil(p.lately));
         holder.wish(p.name, unused ? 0 : p.full ? config.whole() : more,
--- a/src/main/java/rowanplank/fleet/PictureProgram.java
+++ b/src/main/java/rowanplank/fleet/StatusFileProgram.java
@@ -17,7 +17,7 @@
  * The one task that is no command: writes the fleet's picture, as its holder knows it, to a file with the fence in its
  * name, so that of two files the later holder's is told apart. Files of lower fences go.
  */
-final class PictureProgram implements Programs {
+final class StatusFileProgram implements Programs {
     private static final String NAME = "fleet-%019d.json";
 
     private final Supplier<String> directory;
@@ -27,7 +27,7 @@
     private final Programs others;
 
     /** @param others start all other tasks */
-    PictureProgram(Supplier<String> directory, Supplier<JsonObject> picture, WholeFiles files, RateLimitedLog log,
+    StatusFileProgram(Supplier<String> directory, Supplier<JsonObject> picture, WholeFiles files, RateLimitedLog log,
             Programs others) {
         this.directory = directory;
         this.picture = picture;
--- a/src/main/java/rowanplank/fleet/TaskRunner.java
+++ b/src/main/java/rowanplank/fleet/TaskRunner.java
@@ -53,7 +53,7 @@
     private final Loop loop;
     private final BoundedPrograms programs;
     private final RateLimitedLog log;
-    private final Parts parts;
+    private final FleetComponents parts;
     private final LeaseHolder holder;
     private final Runnable changed;
     private final List<Job> jobs = new ArrayList<>();
@@ -62,7 +62,7 @@
     private Runnable whenFinished;
 
     /** @param changed run when {@link #due} may have come nearer by itself */
-    TaskRunner(FleetConfig config, Loop loop, Programs programs, RateLimitedLog log, Parts parts, LeaseHolder holder,
+    TaskRunner(FleetConfig config, Loop loop, Programs programs, RateLimitedLog log, FleetComponents parts, LeaseHolder holder,
             Runnable changed) {
         node = config.node();
         this.loop = loop;
--- a/src/main/java/rowanplank/fleet/Voter.java
+++ b/src/main/java/rowanplank/fleet/Voter.java
@@ -14,10 +14,10 @@
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.wire.DiskForm;
-import rowanplank.fleet.wire.EnvelopeForm;
-import rowanplank.fleet.wire.LedgerForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
+import rowanplank.fleet.wire.EnvelopeCodec;
+import rowanplank.fleet.wire.LedgerCodec;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.Budgets;
@@ -32,7 +32,7 @@
 
 /**
  * A voter: agreement, ledger and desk, and the file that they rest on. All that one of them asks for is done once it has
- * returned ({@link Turns}), so that none is called from within a call.
+ * returned ({@link SerialExecutor}), so that none is called from within a call.
  */
 final class Voter {
     private static final int MOST_UNDECIDED = 512;
@@ -45,7 +45,7 @@
     private static final Duration PARK = Duration.ofSeconds(1);
 
     /** What a voter sends, and whom it tells that it can't go on. */
-    interface Outside {
+    interface Environment {
         void send(String to, Message message);
 
         void answer(Ask ask, Ask.Answer answer);
@@ -68,11 +68,11 @@
     }
 
     private final FleetConfig config;
-    private final Parts parts;
-    private final Turns turns;
+    private final FleetComponents parts;
+    private final SerialExecutor turns;
     /** The latest version of entries that each other voter has said it understands. */
     private final Map<String, Integer> known = new TreeMap<>();
-    private final Outside outside;
+    private final Environment outside;
     private final StateFile file;
     private final RaftNode agreement;
     private final Ledger ledger;
@@ -86,29 +86,29 @@
     private int raised;
 
     /** @throws IOException with one line, if the file can't be used */
-    Voter(FleetConfig config, long seed, Parts parts, StateFile file, Turns turns, Outside outside) throws IOException {
+    Voter(FleetConfig config, long seed, FleetComponents parts, StateFile file, SerialExecutor turns, Environment outside) throws IOException {
         this.config = config;
         this.parts = parts;
         this.turns = turns;
         this.outside = outside;
         this.file = file;
         try {
-            DiskForm.Read read = DiskForm.read(file.content(), config.name(), config.node());
+            VoterFileCodec.ReadFile read = VoterFileCodec.read(file.content(), config.name(), config.node());
             file.cut(read.length());
             chain = read.chain();
-            ledger = parts.ledger(LedgerForm.picture(read.saved().snapshot().data()));
+            ledger = parts.ledger(LedgerCodec.snapshot(read.saved().snapshot().data()));
             agreement = parts.agreement(new RaftNode.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
-                    EnvelopeForm.MOST_CONTENT, MOST_UNDECIDED, seed), read.saved(), outside.now(), new Agreed());
+                    EnvelopeCodec.MAX_CONTENT_BYTES, MOST_UNDECIDED, seed), read.saved(), outside.now(), new RaftActions());
         } catch (MalformedException e) {
             throw new IOException("the state in " + config.directory() + " can't be used: " + e.getMessage(), e);
         }
-        desk = parts.desk(new Desk.Settings(config.timing().drift(), config.timing().session(), PARK), ledger, new AtTheDesk());
-        budgets = parts.budgetDesk(config.timing().drift(), ledger, new AtTheDesk());
+        desk = parts.desk(new Desk.Settings(config.timing().drift(), config.timing().session(), PARK), ledger, new DeskActions());
+        budgets = parts.budgetDesk(config.timing().drift(), ledger, new DeskActions());
         work = config.order() == null ? null : parts.workDesk(new WorkDesk.Settings(config.timing().drift(), TURN_VALID,
                 config.timing().election().multipliedBy(4), new Work.Terms(config.order().mostOut(),
-                config.order().mostOutOfHall()), bounds(config)), ledger, new AtTheDesk());
-        budgets.budgets(Sharing.defined(config.sharing()), name -> Sharing.placesOf(config.sharing(), name),
-                name -> Sharing.terms(config.sharing(), name));
+                config.order().mostOutOfHall()), bounds(config)), ledger, new DeskActions());
+        budgets.budgets(BudgetMapping.defined(config.sharing()), name -> BudgetMapping.placesOf(config.sharing(), name),
+                name -> BudgetMapping.terms(config.sharing(), name));
     }
 
     private static WorkDesk.Bounds bounds(FleetConfig config) {
@@ -161,12 +161,12 @@
 
     /** Once all voters have said that they understand a later version, its entries may be written for good. */
     private void raise() {
-        int all = parts.knows();
+        int all = parts.understoodVersion();
         for (String v : agreement.voters()) {
-            all = v.equals(config.node()) ? all : Math.min(all, known.getOrDefault(v, LedgerForm.FIRST));
+            all = v.equals(config.node()) ? all : Math.min(all, known.getOrDefault(v, LedgerCodec.FIRST_VERSION));
         }
         if (desk.leads() && all > Math.max(raised, ledger.level())
-                && agreement.propose(outside.now(), LedgerForm.command(new Command.Raise(all))) > 0) {
+                && agreement.propose(outside.now(), LedgerCodec.command(new Command.Raise(all))) > 0) {
             raised = all;
         }
     }
@@ -211,7 +211,7 @@
         outside.halt(what + "; this voter takes no part any more");
     }
 
-    private final class Agreed implements RaftNode.Actions {
+    private final class RaftActions implements RaftNode.Actions {
         @Override
         public void send(String to, Message message) {
             outside.send(to, message);
@@ -221,11 +221,11 @@
         public void store(long number, Write write) {
             Runnable synced = () -> turns.run(() -> agreement.onStored(outside.now(), number));
             if (write instanceof Write.FullState whole) {
-                DiskForm.Written written = DiskForm.anew(config.name(), config.node(), whole);
+                VoterFileCodec.Encoded written = VoterFileCodec.replacement(config.name(), config.node(), whole);
                 chain = written.chain();
                 file.replace(written.bytes(), synced);
             } else {
-                DiskForm.Written written = DiskForm.write(chain, write);
+                VoterFileCodec.Encoded written = VoterFileCodec.write(chain, write);
                 chain = written.chain();
                 file.append(written.bytes(), synced);
             }
@@ -233,14 +233,14 @@
 
         @Override
         public void committed(Entry entry) {
-            turns.then(() -> apply(entry));
+            turns.runLater(() -> apply(entry));
         }
 
         @Override
         public void restore(Snapshot snapshot) {
-            turns.then(() -> {
+            turns.runLater(() -> {
                 try {
-                    ledger.restore(LedgerForm.picture(snapshot.data()));
+                    ledger.restore(LedgerCodec.snapshot(snapshot.data()));
                 } catch (MalformedException e) {
                     halted("the leader's snapshot can't be used: " + e.getMessage());
                 }
@@ -250,29 +250,29 @@
         @Override
         public void becameLeader(long term) {
             raised = 0;
-            turns.then(() -> desk.onLeads(outside.now()));
-            turns.then(() -> budgets.onLeads(outside.now()));
+            turns.runLater(() -> desk.onLeads(outside.now()));
+            turns.runLater(() -> budgets.onLeads(outside.now()));
             if (work != null) {
-                turns.then(() -> work.onLeads(outside.now()));
+                turns.runLater(() -> work.onLeads(outside.now()));
             }
-            turns.then(Voter.this::raise);
+            turns.runLater(Voter.this::raise);
         }
 
         @Override
         public void lostLeadership() {
-            turns.then(desk::onLeadsNoMore);
-            turns.then(budgets::onLeadsNoMore);
+            turns.runLater(desk::onLeadsNoMore);
+            turns.runLater(budgets::onLeadsNoMore);
             if (work != null) {
-                turns.then(work::onLeadsNoMore);
+                turns.runLater(work::onLeadsNoMore);
             }
         }
 
         @Override
         public void roundConfirmed(long round) {
-            turns.then(() -> desk.onConfirmed(round));
-            turns.then(() -> budgets.onConfirmed(round));
+            turns.runLater(() -> desk.onConfirmed(round));
+            turns.runLater(() -> budgets.onConfirmed(round));
             if (work != null) {
-                turns.then(() -> work.onConfirmed(round));
+                turns.runLater(() -> work.onConfirmed(round));
             }
         }
     }
@@ -282,10 +282,10 @@
             ledger.skip(entry.index());
         } else {
             try {
-                Command command = LedgerForm.command(entry.payload(), parts.knows());
-                if (command instanceof Command.Raise r && r.level() > parts.knows()) {
+                Command command = LedgerCodec.command(entry.payload(), parts.understoodVersion());
+                if (command instanceof Command.Raise r && r.level() > parts.understoodVersion()) {
                     throw new MalformedException("all others know version " + r.level() + ", and this one "
-                            + parts.knows());
+                            + parts.understoodVersion());
                 }
                 Result result = ledger.apply(entry.index(), command);
                 desk.onApplied(outside.now(), entry.index(), command, result);
@@ -304,12 +304,12 @@
         }
         if (ledger.applied() == agreement.commitIndex()) {
             if (agreement.committedSinceSnapshot() >= config.timing().snapshot()) {
-                agreement.compact(LedgerForm.picture(ledger.picture()));
+                agreement.compact(LedgerCodec.snapshot(ledger.picture()));
             }
             if (desk.leads() && ledger.applied() - audited >= AUDIT_EVERY) {
                 audited = ledger.applied();
                 agreement.propose(outside.now(),
-                        LedgerForm.command(new Command.Audit(ledger.applied(), ledger.chain())));
+                        LedgerCodec.command(new Command.Audit(ledger.applied(), ledger.chain())));
             }
         }
     }
@@ -349,19 +349,19 @@
             return "that is less than what is set aside, or too fast for its burst";
         }
         long[] index = new long[1];
-        turns.run(() -> index[0] = agreement.propose(outside.now(), LedgerForm.command(new Command.Resize(name, whole))));
+        turns.run(() -> index[0] = agreement.propose(outside.now(), LedgerCodec.command(new Command.Resize(name, whole))));
         return index[0] > 0 ? null : "it can't be taken now: ask again";
     }
 
-    private final class AtTheDesk implements Desk.Actions, BudgetDesk.Actions, WorkDesk.Actions {
+    private final class DeskActions implements Desk.Actions, BudgetDesk.Actions, WorkDesk.Actions {
         @Override
         public boolean isKnown(Command command) {
-            return LedgerForm.versionOf(command) <= ledger.level();
+            return LedgerCodec.versionOf(command) <= ledger.level();
         }
 
         @Override
         public long propose(Command command) {
-            return agreement.propose(outside.now(), LedgerForm.command(command));
+            return agreement.propose(outside.now(), LedgerCodec.command(command));
         }
 
         @Override
--- a/src/main/java/rowanplank/fleet/WorkText.java
+++ b/src/main/java/rowanplank/fleet/WorkStatusJson.java
@@ -10,8 +10,8 @@
 import rowanplank.ledger.WorkHolder;
 
 /** The order of work as staff read it. */
-final class WorkText {
-    private WorkText() { }
+final class WorkStatusJson {
+    private WorkStatusJson() { }
 
     private static String word(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
--- a/src/main/java/rowanplank/fleet/WorkerRunner.java
+++ b/src/main/java/rowanplank/fleet/WorkerRunner.java
@@ -42,7 +42,7 @@
     private final Loop loop;
     private final BoundedPrograms programs;
     private final RateLimitedLog log;
-    private final Parts parts;
+    private final FleetComponents parts;
     private final BudgetHolder holder;
     private final Runnable changed;
     private final List<Copy> copies = new ArrayList<>();
@@ -50,7 +50,7 @@
     private long begun;
 
     /** @param changed run when {@link #due} may have come nearer by itself */
-    WorkerRunner(String node, Loop loop, Programs programs, RateLimitedLog log, Parts parts, BudgetHolder holder,
+    WorkerRunner(String node, Loop loop, Programs programs, RateLimitedLog log, FleetComponents parts, BudgetHolder holder,
             Runnable changed) {
         this.node = node;
         this.loop = loop;
--- a/src/main/java/rowanplank/fleet/wire/Unpacker.java
+++ b/src/main/java/rowanplank/fleet/wire/BinaryReader.java
@@ -3,8 +3,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Bytes to values, as {@link Packer} wrote them. Whatever does not fit is a {@link MalformedException}. */
-public final class Unpacker {
+/** Bytes to values, as {@link BinaryWriter} wrote them. Whatever does not fit is a {@link MalformedException}. */
+public final class BinaryReader {
     /** What was read is not what was written. */
     public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1;
@@ -16,11 +16,11 @@
 
     private final ByteBuffer in;
 
-    public Unpacker(byte[] bytes) {
+    public BinaryReader(byte[] bytes) {
         this(ByteBuffer.wrap(bytes));
     }
 
-    public Unpacker(ByteBuffer in) {
+    public BinaryReader(ByteBuffer in) {
         this.in = in;
     }
 
@@ -53,7 +53,7 @@
         return in.getLong();
     }
 
-    public long number() throws MalformedException {
+    public long varint() throws MalformedException {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += 7) {
             int octet = octet();
@@ -67,7 +67,7 @@
 
     /** How many follow, each of a byte at least: guards against lists that claim more than has come. */
     public int count() throws MalformedException {
-        long count = number();
+        long count = varint();
         if (count < 0 || count > in.remaining()) {
             throw new MalformedException("more than there is: " + count);
         }
--- a/src/main/java/rowanplank/fleet/wire/Envelope.java
+++ b/src/main/java/rowanplank/fleet/wire/Envelope.java
@@ -9,9 +9,9 @@
  *
  * @param sender the sending node's name
  * @param incarnation tells the sending process from others of its name
- * @param knows the latest version of the ledger's entries that the sender understands
+ * @param understoodVersion the latest version of the ledger's entries that the sender understands
  */
-public record Envelope(String sender, long incarnation, int knows, Message message, Ask ask, Ask.Answer answer, GossipMessage note) {
+public record Envelope(String sender, long incarnation, int understoodVersion, Message message, Ask ask, Ask.Answer answer, GossipMessage gossip) {
     public static Envelope of(String sender, long incarnation, int knows, Message message) {
         return new Envelope(sender, incarnation, knows, message, null, null, null);
     }
--- a/src/main/java/rowanplank/fleet/wire/NoteForm.java
+++ b/src/main/java/rowanplank/fleet/wire/GossipCodec.java
@@ -2,52 +2,52 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.membership.GossipMessage;
 import rowanplank.membership.MemberUpdate;
 
 /** What nodes say of who lives, as bytes. */
-final class NoteForm {
+final class GossipCodec {
     /** The first of its kinds; six of them are known. */
     static final int FIRST = 40;
 
-    private NoteForm() { }
+    private GossipCodec() { }
 
-    static void write(Packer out, GossipMessage note) {
+    static void write(BinaryWriter out, GossipMessage note) {
         if (note instanceof GossipMessage.Ping n) {
-            out.octet(FIRST).number(n.number());
+            out.octet(FIRST).varint(n.number());
         } else if (note instanceof GossipMessage.Ack n) {
-            out.octet(FIRST + 1).number(n.number());
+            out.octet(FIRST + 1).varint(n.number());
         } else if (note instanceof GossipMessage.PingRequest n) {
-            out.octet(FIRST + 2).number(n.number()).text(n.target()).text(n.address());
+            out.octet(FIRST + 2).varint(n.number()).text(n.target()).text(n.address());
         } else if (note instanceof GossipMessage.Nack n) {
-            out.octet(FIRST + 3).number(n.number());
+            out.octet(FIRST + 3).varint(n.number());
         } else if (note instanceof GossipMessage.MemberListRequest n) {
             out.octet(FIRST + 4).text(n.after());
         } else if (note instanceof GossipMessage.MemberListResponse n) {
             out.octet(FIRST + 5).text(n.last());
         }
-        out.number(note.updates().size());
-        note.updates().forEach(n -> out.text(n.name()).text(n.address()).number(n.incarnation()).octet(n.state().ordinal())
+        out.varint(note.updates().size());
+        note.updates().forEach(n -> out.text(n.name()).text(n.address()).varint(n.incarnation()).octet(n.state().ordinal())
                 .flag(n.serves()).text(n.by()));
     }
 
-    static GossipMessage read(int kind, Unpacker in) throws MalformedException {
+    static GossipMessage read(int kind, BinaryReader in) throws MalformedException {
         return switch (kind - FIRST) {
-            case 0 -> new GossipMessage.Ping(in.number(), news(in));
-            case 1 -> new GossipMessage.Ack(in.number(), news(in));
-            case 2 -> new GossipMessage.PingRequest(in.number(), in.text(), in.text(), news(in));
-            case 3 -> new GossipMessage.Nack(in.number(), news(in));
+            case 0 -> new GossipMessage.Ping(in.varint(), news(in));
+            case 1 -> new GossipMessage.Ack(in.varint(), news(in));
+            case 2 -> new GossipMessage.PingRequest(in.varint(), in.text(), in.text(), news(in));
+            case 3 -> new GossipMessage.Nack(in.varint(), news(in));
             case 4 -> new GossipMessage.MemberListRequest(in.text(), news(in));
             case 5 -> new GossipMessage.MemberListResponse(in.text(), news(in));
             default -> throw new MalformedException("a message of kind " + kind + ", which this version does not know");
         };
     }
 
-    private static List<MemberUpdate> news(Unpacker in) throws MalformedException {
+    private static List<MemberUpdate> news(BinaryReader in) throws MalformedException {
         List<MemberUpdate> news = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            news.add(new MemberUpdate(in.text(), in.text(), in.number(), state(in.octet()), in.flag(), in.text()));
+            news.add(new MemberUpdate(in.text(), in.text(), in.varint(), state(in.octet()), in.flag(), in.text()));
         }
         return news;
     }
--- a/src/main/java/rowanplank/fleet/wire/LogForm.java
+++ b/src/main/java/rowanplank/fleet/wire/LogCodec.java
@@ -4,34 +4,34 @@
 import java.util.List;
 import rowanplank.agreement.Entry;
 import rowanplank.agreement.VoterConfig;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 
 /** Entries of the log as bytes, alike in messages and on disk. */
-final class LogForm {
+final class LogCodec {
     private static final int UNCHANGED = 0;
     private static final int VOTERS = 1;
     private static final int JOINT = 2;
 
-    private LogForm() { }
+    private LogCodec() { }
 
-    static void entries(Packer out, List<Entry> entries) {
-        out.number(entries.size());
+    static void entries(BinaryWriter out, List<Entry> entries) {
+        out.varint(entries.size());
         for (Entry e : entries) {
-            out.number(e.index()).number(e.term());
+            out.varint(e.index()).varint(e.term());
             membership(out, e.membership());
             out.bytes(e.payload());
         }
     }
 
-    static List<Entry> entries(Unpacker in) throws MalformedException {
+    static List<Entry> entries(BinaryReader in) throws MalformedException {
         List<Entry> entries = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            entries.add(new Entry(in.number(), in.number(), membership(in), in.bytes()));
+            entries.add(new Entry(in.varint(), in.varint(), membership(in), in.bytes()));
         }
         return entries;
     }
 
-    private static void membership(Packer out, VoterConfig membership) {
+    private static void membership(BinaryWriter out, VoterConfig membership) {
         if (membership == null) {
             out.octet(UNCHANGED);
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    private static VoterConfig membership(Unpacker in) throws MalformedException {
+    private static VoterConfig membership(BinaryReader in) throws MalformedException {
         int kind = in.octet();
         return switch (kind) {
             case UNCHANGED -> null;
@@ -53,12 +53,12 @@
         };
     }
 
-    static void names(Packer out, List<String> names) {
-        out.number(names.size());
+    static void names(BinaryWriter out, List<String> names) {
+        out.varint(names.size());
         names.forEach(out::text);
     }
 
-    static List<String> names(Unpacker in) throws MalformedException {
+    static List<String> names(BinaryReader in) throws MalformedException {
         List<String> names = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
             names.add(in.text());
--- a/src/main/java/rowanplank/fleet/wire/DiskForm.java
+++ b/src/main/java/rowanplank/fleet/wire/VoterFileCodec.java
@@ -8,7 +8,7 @@
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 
 /**
  * A voter's file: a head that says whose it is, and records, each with its length, a checksum of the length, and one of
@@ -20,7 +20,7 @@
  * and the voter's place is to be given to a new one. A system that crashes may leave a full-length record that was never
  * synced; that is refused as well, on the safe side.
  */
-public final class DiskForm {
+public final class VoterFileCodec {
     private static final int VERSION = 1;
     private static final int HEAD = 3 * Integer.BYTES;
 
@@ -29,60 +29,60 @@
      * @param length how much of the file is whole records; the rest is to be cut off
      * @param chain the last record's checksum
      */
-    public record Read(PersistentState saved, int length, int chain) { }
+    public record ReadFile(PersistentState saved, int length, int chain) { }
 
     /** Written records, and the last one's checksum. */
-    public record Written(byte[] bytes, int chain) { }
+    public record Encoded(byte[] bytes, int chain) { }
 
-    private DiskForm() { }
+    private VoterFileCodec() { }
 
     /** A new file: its head, and no records but the voters at the beginning. */
-    public static Written create(String fleet, String node, List<String> voters) {
-        Written head = record(0, new Packer().octet(0).octet(VERSION).text(fleet).text(node).done());
-        Written beginning = write(head.chain(), new Write.FullState(PersistentState.initial(voters)));
+    public static Encoded create(String fleet, String node, List<String> voters) {
+        Encoded head = record(0, new BinaryWriter().octet(0).octet(VERSION).text(fleet).text(node).toByteArray());
+        Encoded beginning = write(head.chain(), new Write.FullState(PersistentState.initial(voters)));
         return joined(head, beginning);
     }
 
     /** A file that holds only what this write says, in place of another. */
-    public static Written anew(String fleet, String node, Write.FullState whole) {
-        Written head = record(0, new Packer().octet(0).octet(VERSION).text(fleet).text(node).done());
+    public static Encoded replacement(String fleet, String node, Write.FullState whole) {
+        Encoded head = record(0, new BinaryWriter().octet(0).octet(VERSION).text(fleet).text(node).toByteArray());
         return joined(head, write(head.chain(), whole));
     }
 
-    private static Written joined(Written a, Written b) {
+    private static Encoded joined(Encoded a, Encoded b) {
         byte[] bytes = ByteBuffer.allocate(a.bytes().length + b.bytes().length).put(a.bytes()).put(b.bytes()).array();
-        return new Written(bytes, b.chain());
+        return new Encoded(bytes, b.chain());
     }
 
     /** @param chain of the record before it */
-    public static Written write(int chain, Write write) {
-        Packer out = new Packer();
+    public static Encoded write(int chain, Write write) {
+        BinaryWriter out = new BinaryWriter();
         if (write instanceof Write.Vote v) {
             out.octet(1);
             vote(out, v.term(), v.vote());
         } else if (write instanceof Write.Entries e) {
-            LogForm.entries(out.octet(2), e.entries());
+            LogCodec.entries(out.octet(2), e.entries());
         } else if (write instanceof Write.FullState w) {
             Snapshot s = w.saved().snapshot();
             out.octet(3);
             vote(out, w.saved().term(), w.saved().vote());
-            out.number(s.index()).number(s.term());
-            LogForm.names(out, s.voters());
-            LogForm.entries(out.bytes(s.data()), w.saved().entries());
+            out.varint(s.index()).varint(s.term());
+            LogCodec.names(out, s.voters());
+            LogCodec.entries(out.bytes(s.data()), w.saved().entries());
         }
-        return record(chain, out.done());
+        return record(chain, out.toByteArray());
     }
 
-    private static void vote(Packer out, long term, String vote) {
-        out.number(term).flag(vote != null);
+    private static void vote(BinaryWriter out, long term, String vote) {
+        out.varint(term).flag(vote != null);
         if (vote != null) {
             out.text(vote);
         }
     }
 
-    private static Written record(int chain, byte[] content) {
+    private static Encoded record(int chain, byte[] content) {
         int sum = checksum(chain, content.length, ByteBuffer.wrap(content));
-        return new Written(ByteBuffer.allocate(HEAD + content.length).putInt(content.length)
+        return new Encoded(ByteBuffer.allocate(HEAD + content.length).putInt(content.length)
                 .putInt(checksum(chain, content.length, ByteBuffer.allocate(0))).putInt(sum).put(content).array(), sum);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** @throws MalformedException if it is not this node's file, or damaged: one line says where */
-    public static Read read(byte[] file, String fleet, String node) throws MalformedException {
+    public static ReadFile read(byte[] file, String fleet, String node) throws MalformedException {
         ByteBuffer in = ByteBuffer.wrap(file);
         PersistentState saved = null;
         int chain = 0;
@@ -114,9 +114,9 @@
             byte[] content = new byte[length];
             in.get(content);
             if (first) {
-                head(new Unpacker(content), fleet, node);
+                head(new BinaryReader(content), fleet, node);
             } else {
-                saved = with(saved, new Unpacker(content), start);
+                saved = with(saved, new BinaryReader(content), start);
             }
             first = false;
             chain = sum;
@@ -124,7 +124,7 @@
         if (saved == null) {
             throw new MalformedException("ends before its first record");
         }
-        return new Read(saved, in.position(), chain);
+        return new ReadFile(saved, in.position(), chain);
     }
 
     /**
@@ -160,9 +160,9 @@
                 byte[] content = new byte[length];
                 in.get(content);
                 if (names == null) {
-                    names = names(new Unpacker(content));
+                    names = names(new BinaryReader(content));
                 } else {
-                    saved = with(saved, new Unpacker(content), start);
+                    saved = with(saved, new BinaryReader(content), start);
                 }
                 chain = sum;
                 whole = in.position();
@@ -173,7 +173,7 @@
         return saved == null ? null : new Recovered(names[0], names[1], saved, whole, chain);
     }
 
-    private static void head(Unpacker in, String fleet, String node) throws MalformedException {
+    private static void head(BinaryReader in, String fleet, String node) throws MalformedException {
         String[] names = names(in);
         if (!names[0].equals(fleet) || !names[1].equals(node)) {
             throw new MalformedException("of node " + names[1] + " in fleet " + names[0]);
@@ -181,7 +181,7 @@
     }
 
     /** The fleet's and the node's name. */
-    private static String[] names(Unpacker in) throws MalformedException {
+    private static String[] names(BinaryReader in) throws MalformedException {
         if (in.octet() != 0) {
             throw new MalformedException("no voter's file");
         }
@@ -194,21 +194,21 @@
         return names;
     }
 
-    private static PersistentState with(PersistentState before, Unpacker in, int start) throws MalformedException {
+    private static PersistentState with(PersistentState before, BinaryReader in, int start) throws MalformedException {
         int kind = in.octet();
         PersistentState after;
         if (kind == 3) {
-            long term = in.number();
+            long term = in.varint();
             String vote = in.flag() ? in.text() : null;
-            Snapshot snapshot = new Snapshot(in.number(), in.number(), LogForm.names(in), in.bytes());
-            after = new PersistentState(term, vote, snapshot, LogForm.entries(in));
+            Snapshot snapshot = new Snapshot(in.varint(), in.varint(), LogCodec.names(in), in.bytes());
+            after = new PersistentState(term, vote, snapshot, LogCodec.entries(in));
         } else if (before == null || kind < 1 || kind > 3) {
             throw new MalformedException("a record of kind " + kind + " at byte " + start);
         } else if (kind == 1) {
-            after = new PersistentState(in.number(), in.flag() ? in.text() : null, before.snapshot(), before.entries());
+            after = new PersistentState(in.varint(), in.flag() ? in.text() : null, before.snapshot(), before.entries());
         } else {
             after = new PersistentState(before.term(), before.vote(), before.snapshot(),
-                    joined(before, LogForm.entries(in), start));
+                    joined(before, LogCodec.entries(in), start));
         }
         in.end();
         return after;
--- a/src/main/java/rowanplank/fleet/wire/WorkForm.java
+++ b/src/main/java/rowanplank/fleet/wire/WorkCodec.java
@@ -4,37 +4,37 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Window;
 import rowanplank.ledger.Work;
 
 /** What concerns the order of work, as bytes: commands, pictures, and a machine's line. */
-final class WorkForm {
-    private WorkForm() { }
+final class WorkCodec {
+    private WorkCodec() { }
 
-    static boolean isOfWork(Command c) {
+    static boolean isWorkCommand(Command c) {
         return c instanceof Command.Announce || c instanceof Command.WorkTerms || c instanceof Command.Turn
                 || c instanceof Command.Step || c instanceof Command.Staff || c instanceof Command.Halt;
     }
 
     /** Whether it came with the version behind that of the first order of work. */
-    static boolean isLater(Command c) {
+    static boolean needsLatestVersion(Command c) {
         return c instanceof Command.Halt
                 || c instanceof Command.Staff s && (s.window() != null || s.what() == Command.StaffWord.FORGET);
     }
 
-    static void command(Packer out, Command command) {
+    static void command(BinaryWriter out, Command command) {
         if (command instanceof Command.Announce c) {
             out.octet(17).text(c.node()).text(c.machine()).text(c.hall());
         } else if (command instanceof Command.WorkTerms c) {
-            out.octet(18).number(c.mostOut()).number(c.mostOutOfHall());
+            out.octet(18).varint(c.mostOut()).varint(c.mostOutOfHall());
         } else if (command instanceof Command.Turn c) {
             out.octet(19).text(c.machine());
         } else if (command instanceof Command.Step c) {
-            out.octet(20).text(c.node()).int64(c.process()).number(c.fence()).octet(c.from().ordinal());
-        } else if (command instanceof Command.Staff c && isLater(c)) {
+            out.octet(20).text(c.node()).int64(c.process()).varint(c.fence()).octet(c.from().ordinal());
+        } else if (command instanceof Command.Staff c && needsLatestVersion(c)) {
             window(staff(out.octet(26), c), c.window());
         } else if (command instanceof Command.Staff c) {
             staff(out.octet(21), c);
@@ -43,38 +43,38 @@
         }
     }
 
-    static Command command(int kind, Unpacker in) throws MalformedException {
+    static Command command(int kind, BinaryReader in) throws MalformedException {
         return switch (kind) {
             case 17 -> new Command.Announce(in.text(), in.text(), in.text());
-            case 18 -> new Command.WorkTerms((int) in.number(), (int) in.number());
+            case 18 -> new Command.WorkTerms((int) in.varint(), (int) in.varint());
             case 19 -> new Command.Turn(in.text());
-            case 20 -> new Command.Step(in.text(), in.int64(), in.number(), state(in));
+            case 20 -> new Command.Step(in.text(), in.int64(), in.varint(), state(in));
             case 21 -> staff(in);
-            case 26 -> laterStaff(in);
+            case 26 -> staffWithWindow(in);
             case 27 -> new Command.Halt(in.text());
             default -> throw new MalformedException("a command of kind " + kind + ", which this version does not know");
         };
     }
 
-    static Packer staff(Packer out, Command.Staff c) {
+    static BinaryWriter staff(BinaryWriter out, Command.Staff c) {
         out.int64(c.id()).octet(c.what().ordinal());
-        LogForm.names(out, c.machines());
-        return out.text(c.by()).text(c.why()).flag(c.first()).flag(c.restart()).number(c.longestMs());
+        LogCodec.names(out, c.machines());
+        return out.text(c.by()).text(c.why()).flag(c.first()).flag(c.restart()).varint(c.longestMs());
     }
 
-    static Command.Staff laterStaff(Unpacker in) throws MalformedException {
+    static Command.Staff staffWithWindow(BinaryReader in) throws MalformedException {
         Command.Staff c = staff(in);
         return new Command.Staff(c.id(), c.what(), c.machines(), c.by(), c.why(), c.first(), c.restart(), c.longestMs(), window(in));
     }
 
-    static void window(Packer out, Window w) {
-        out.flag(w != null).number(w == null ? 0 : w.from()).number(w == null ? 0 : w.until());
+    static void window(BinaryWriter out, Window w) {
+        out.flag(w != null).varint(w == null ? 0 : w.from()).varint(w == null ? 0 : w.until());
     }
 
-    private static Window window(Unpacker in) throws MalformedException {
+    private static Window window(BinaryReader in) throws MalformedException {
         boolean is = in.flag();
-        long from = in.number();
-        long until = in.number();
+        long from = in.varint();
+        long until = in.varint();
         try {
             return is ? new Window(Math.toIntExact(from), Math.toIntExact(until)) : null;
         } catch (IllegalArgumentException | ArithmeticException e) {
@@ -82,24 +82,24 @@
         }
     }
 
-    static void service(Packer out, Ask.Service s) {
-        out.number(s.served()).number(s.refused()).number(s.failed()).number(s.open()).number(s.used()).number(s.servers());
+    static void service(BinaryWriter out, Ask.Service s) {
+        out.varint(s.served()).varint(s.refused()).varint(s.failed()).varint(s.open()).varint(s.used()).varint(s.servers());
     }
 
-    static Ask.Service service(Unpacker in) throws MalformedException {
-        return new Ask.Service(in.number(), in.number(), in.number(), in.number(), in.number(), in.number());
+    static Ask.Service service(BinaryReader in) throws MalformedException {
+        return new Ask.Service(in.varint(), in.varint(), in.varint(), in.varint(), in.varint(), in.varint());
     }
 
-    static Command.Staff staff(Unpacker in) throws MalformedException {
-        return new Command.Staff(in.int64(), one(Command.StaffWord.values(), in), LogForm.names(in), in.text(), in.text(),
-                in.flag(), in.flag(), in.number());
+    static Command.Staff staff(BinaryReader in) throws MalformedException {
+        return new Command.Staff(in.int64(), enumValue(Command.StaffWord.values(), in), LogCodec.names(in), in.text(), in.text(),
+                in.flag(), in.flag(), in.varint());
     }
 
-    static Work.State state(Unpacker in) throws MalformedException {
-        return one(Work.State.values(), in);
+    static Work.State state(BinaryReader in) throws MalformedException {
+        return enumValue(Work.State.values(), in);
     }
 
-    private static <T> T one(T[] values, Unpacker in) throws MalformedException {
+    private static <T> T enumValue(T[] values, BinaryReader in) throws MalformedException {
         int which = in.octet();
         if (which >= values.length) {
             throw new MalformedException("no such word: " + which);
@@ -108,24 +108,24 @@
     }
 
     /** Without its window, which concerns the leader alone. */
-    static void line(Packer out, Work.Line l) {
-        out.text(l.machine()).octet(l.state().ordinal()).number(l.asked()).text(l.by()).text(l.why()).flag(l.first())
-                .flag(l.restart()).number(l.longestMs()).number(l.fence());
+    static void line(BinaryWriter out, Work.Line l) {
+        out.text(l.machine()).octet(l.state().ordinal()).varint(l.asked()).text(l.by()).text(l.why()).flag(l.first())
+                .flag(l.restart()).varint(l.longestMs()).varint(l.fence());
         numbers(out, l.said());
         out.flag(l.cancelled());
     }
 
-    static Work.Line line(Unpacker in) throws MalformedException {
-        return new Work.Line(in.text(), state(in), in.number(), in.text(), in.text(), in.flag(), in.flag(), in.number(),
-                in.number(), numbers(in), in.flag());
+    static Work.Line line(BinaryReader in) throws MalformedException {
+        return new Work.Line(in.text(), state(in), in.varint(), in.text(), in.text(), in.flag(), in.flag(), in.varint(),
+                in.varint(), numbers(in), in.flag());
     }
 
-    private static void numbers(Packer out, Map<String, Long> numbers) {
-        out.number(numbers.size());
+    private static void numbers(BinaryWriter out, Map<String, Long> numbers) {
+        out.varint(numbers.size());
         numbers.forEach((name, n) -> out.text(name).int64(n));
     }
 
-    private static Map<String, Long> numbers(Unpacker in) throws MalformedException {
+    private static Map<String, Long> numbers(BinaryReader in) throws MalformedException {
         Map<String, Long> numbers = new TreeMap<>();
         for (int left = in.count(); left > 0; left--) {
             numbers.put(in.text(), in.int64());
@@ -134,25 +134,25 @@
     }
 
     /** @param windows whether lines are written with theirs */
-    static void picture(Packer out, Work.Picture p, boolean windows) {
-        out.number(p.terms().mostOut()).number(p.terms().mostOutOfHall()).text(p.held()).number(p.places().size());
+    static void snapshot(BinaryWriter out, Work.Picture p, boolean windows) {
+        out.varint(p.terms().mostOut()).varint(p.terms().mostOutOfHall()).text(p.held()).varint(p.places().size());
         p.places().forEach(x -> out.text(x.node()).text(x.machine()).text(x.hall()));
-        out.number(p.lines().size());
+        out.varint(p.lines().size());
         p.lines().forEach(l -> {
             line(out, l);
             if (windows) {
                 window(out, l.window());
             }
         });
-        out.number(p.history().size());
-        p.history().forEach(h -> out.text(h.machine()).octet(h.how().ordinal()).number(h.fence()).number(h.asked()));
-        out.number(p.answers().size());
-        p.answers().forEach(a -> LedgerForm.result(out.int64(a.id()), a.result()));
+        out.varint(p.history().size());
+        p.history().forEach(h -> out.text(h.machine()).octet(h.how().ordinal()).varint(h.fence()).varint(h.asked()));
+        out.varint(p.answers().size());
+        p.answers().forEach(a -> LedgerCodec.result(out.int64(a.id()), a.result()));
         numbers(out, p.lastTurns());
     }
 
-    static Work.Picture picture(Unpacker in, boolean windows) throws MalformedException {
-        Work.Terms terms = new Work.Terms((int) in.number(), (int) in.number());
+    static Work.Picture snapshot(BinaryReader in, boolean windows) throws MalformedException {
+        Work.Terms terms = new Work.Terms((int) in.varint(), (int) in.varint());
         String held = in.text();
         List<Work.Place> places = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
@@ -166,11 +166,11 @@
         }
         List<Work.Past> history = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            history.add(new Work.Past(in.text(), one(Work.How.values(), in), in.number(), in.number()));
+            history.add(new Work.Past(in.text(), enumValue(Work.How.values(), in), in.varint(), in.varint()));
         }
         List<Work.Answered> answers = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            answers.add(new Work.Answered(in.int64(), LedgerForm.result(in)));
+            answers.add(new Work.Answered(in.int64(), LedgerCodec.result(in)));
         }
         return new Work.Picture(terms, held, places, lines, history, answers, numbers(in));
     }
--- a/src/main/java/rowanplank/lab/run/FleetHost.java
+++ b/src/main/java/rowanplank/lab/run/FleetHost.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.Parts;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.FleetComponents;
+import rowanplank.fleet.FleetNode;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.lab.net.SimProcess;
 import rowanplank.lab.net.VirtualDisk;
 import rowanplank.metrics.RateLimitedLog;
@@ -33,7 +33,7 @@
     private final int nodes;
     private final VirtualDisk disk;
     private long lives;
-    private Fleet fleet;
+    private FleetNode fleet;
 
     FleetHost(Stage stage, int number, FleetConfig.Sharing sharing) {
         this.number = number;
@@ -49,12 +49,12 @@
         config = new FleetConfig(FLEET, name, SiteMap.fleet(number), SiteMap.fleet(number), voters, new TreeMap<>(), members,
                 number < votes ? name : null, TIMING, List.of(), List.of(), null, sharing);
         disk = new VirtualDisk(stage.world().random("disk " + number),
-                number < votes ? DiskForm.create(FLEET, name, List.copyOf(voters.keySet())).bytes() : null);
+                number < votes ? VoterFileCodec.create(FLEET, name, List.copyOf(voters.keySet())).bytes() : null);
     }
 
     /** To be called in each life, before the node's start. */
     void join(Node node, SimProcess process, RateLimitedLog log) {
-        fleet = new Fleet(config, ++lives * nodes + number, new Parts(), new Fleet.Machine(process, disk,
+        fleet = new FleetNode(config, ++lives * nodes + number, new FleetComponents(), new FleetNode.Platform(process, disk,
                 (directory, file, content, outdated, done) -> { }, (command, environment, ended) -> null, log));
         node.join(fleet);
     }
@@ -64,9 +64,9 @@
         fleet.start();
     }
 
-    /** In order, as {@link Fleet#stop}. */
+    /** In order, as {@link FleetNode#stop}. */
     void stop(SimProcess process, Runnable done) {
-        Fleet of = fleet;
+        FleetNode of = fleet;
         process.execute(() -> of.stop(LONGEST_LEAVE, done));
     }
 
--- a/src/main/java/rowanplank/lab/trial/BudgetPlants.java
+++ b/src/main/java/rowanplank/lab/trial/BudgetPlants.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.RaftNode;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.BudgetHolder;
@@ -55,11 +55,11 @@
     }
 
     /** @throws IllegalArgumentException if there is no fault of that name */
-    static Parts parts(String name) {
+    static FleetComponents parts(String name) {
         return switch (name) {
             case "shrunk-at-once", "back-is-free", "lowered-at-once", "aside-forgotten", "rounded-up" ->
                     ledger(() -> new WrongBudgets(name));
-            case "restart-frees" -> new Parts() {
+            case "restart-frees" -> new FleetComponents() {
                 @Override
                 public Ledger ledger(Ledger.Picture picture) {
                     Restarts budgets = new Restarts();
@@ -67,7 +67,7 @@
                     return budgets.ledger;
                 }
             };
-            case "counts-wrong" -> new Parts() {
+            case "counts-wrong" -> new FleetComponents() {
                 @Override
                 public Ledger ledger(Ledger.Picture picture) {
                     return picture.budgets().parts().isEmpty() ? super.ledger(picture)
@@ -87,7 +87,7 @@
             case "joiner-first" -> waits((ledger, m) -> ledger.budgets().members().stream()
                     .anyMatch(o -> o.epoch() > m.epoch()) ? m.length().dividedBy(2) : null);
             case "parts-never-lapse" -> waits((ledger, m) -> Duration.ofHours(1));
-            case "parts-no-wait", "parts-unconfirmed" -> new Parts() {
+            case "parts-no-wait", "parts-unconfirmed" -> new FleetComponents() {
                 @Override
                 public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
                     return name.equals("parts-no-wait") ? super.agreement(settings, saved, now, actions)
@@ -99,7 +99,7 @@
                     return new WrongDesk(name, drift, ledger, actions);
                 }
             };
-            case "fixed-at-once" -> new Parts() {
+            case "fixed-at-once" -> new FleetComponents() {
                 @Override
                 public BudgetHolder budgetHolder(BudgetHolder.Settings settings, Instant now, BudgetHolder.Actions actions) {
                     return new BudgetHolder(settings, now, actions) {
@@ -114,7 +114,7 @@
                 if (!all().containsKey(name)) {
                     throw new IllegalArgumentException("no fault of that name: " + name);
                 }
-                yield new Parts() {
+                yield new FleetComponents() {
                     @Override
                     public BudgetHolder budgetHolder(BudgetHolder.Settings settings, Instant now,
                             BudgetHolder.Actions actions) {
@@ -125,8 +125,8 @@
         };
     }
 
-    private static Parts ledger(Supplier<Budgets> budgets) {
-        return new Parts() {
+    private static FleetComponents ledger(Supplier<Budgets> budgets) {
+        return new FleetComponents() {
             @Override
             public Ledger ledger(Ledger.Picture picture) {
                 return new Ledger(picture, budgets.get(), new Work());
@@ -135,8 +135,8 @@
     }
 
     /** @param wait null where it is the right one */
-    private static Parts waits(BiFunction<Ledger, Budgets.Member, Duration> wait) {
-        return new Parts() {
+    private static FleetComponents waits(BiFunction<Ledger, Budgets.Member, Duration> wait) {
+        return new FleetComponents() {
             @Override
             public BudgetDesk budgetDesk(double drift, Ledger ledger, BudgetDesk.Actions actions) {
                 return new BudgetDesk(drift, ledger, actions) {
--- a/src/main/java/rowanplank/lab/trial/LedgerClient.java
+++ b/src/main/java/rowanplank/lab/trial/LedgerClient.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.fleet.wire.Envelope;
-import rowanplank.fleet.wire.EnvelopeForm;
-import rowanplank.fleet.wire.LedgerForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.EnvelopeCodec;
+import rowanplank.fleet.wire.LedgerCodec;
 import rowanplank.lab.trial.judge.Event.Kind;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Result;
@@ -36,7 +36,7 @@
         void send(int voter, ByteBuffer datagram);
     }
 
-    private final EnvelopeForm form;
+    private final EnvelopeCodec form;
     private final List<String> voters;
     private final UniformRandomProvider chance;
     private final Subject.Notes notes;
@@ -50,7 +50,7 @@
     private int target;
 
     LedgerClient(String fleet, List<String> voters, UniformRandomProvider chance, Subject.Notes notes, Out out) {
-        form = new EnvelopeForm(fleet);
+        form = new EnvelopeCodec(fleet);
         this.voters = List.copyOf(voters);
         this.chance = chance;
         this.notes = notes;
@@ -74,7 +74,7 @@
 
     private void begin() {
         number++;
-        asked = form.write(Envelope.of(NAME, FIRST_NUMBER, LedgerForm.FIRST,
+        asked = form.write(Envelope.of(NAME, FIRST_NUMBER, LedgerCodec.FIRST_VERSION,
                 new Ask(NAME, FIRST_NUMBER, session, number, number, what())));
         switch (step) {
             case OPEN -> { }
--- a/src/main/java/rowanplank/lab/trial/Plants.java
+++ b/src/main/java/rowanplank/lab/trial/Plants.java
@@ -8,7 +8,7 @@
 import rowanplank.agreement.Message;
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.RaftNode;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Desk;
 import rowanplank.ledger.LeaseHolder;
@@ -50,9 +50,9 @@
     }
 
     /** @throws IllegalArgumentException if there is no fault of that name */
-    public static Parts parts(String name) {
+    public static FleetComponents parts(String name) {
         return switch (name) {
-            case "counted-from-answer" -> new Parts() {
+            case "counted-from-answer" -> new FleetComponents() {
                 @Override
                 public LeaseHolder holder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
                     return new LeaseHolder(settings, now, actions) {
@@ -75,7 +75,7 @@
                     return wait.dividedBy(2);
                 }
             });
-            case "fence-repeats" -> new Parts() {
+            case "fence-repeats" -> new FleetComponents() {
                 @Override
                 public Ledger ledger(Ledger.Picture picture) {
                     return new Ledger(picture) {
@@ -86,7 +86,7 @@
                     };
                 }
             };
-            case "vote-forgotten" -> new Parts() {
+            case "vote-forgotten" -> new FleetComponents() {
                 @Override
                 public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
                         RaftNode.Actions actions) {
@@ -94,14 +94,14 @@
                 }
             };
             case "any-log-will-do", "older-terms-count", "unconfirmed-renewal", "half-is-enough", "no-log-check" ->
-                    new Parts() {
+                    new FleetComponents() {
                         @Override
                         public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
                                 RaftNode.Actions actions) {
                             return new WrongAgreement(name, settings, saved, now, actions);
                         }
                     };
-            case "stale-read" -> new Parts() {
+            case "stale-read" -> new FleetComponents() {
                 @Override
                 public Desk desk(Desk.Settings settings, Ledger ledger, Desk.Actions actions) {
                     return new Desk(settings, ledger, actions) {
@@ -112,7 +112,7 @@
                     };
                 }
             };
-            case "done-twice" -> new Parts() {
+            case "done-twice" -> new FleetComponents() {
                 @Override
                 public Ledger ledger(Ledger.Picture picture) {
                     return new Ledger(picture) {
@@ -123,7 +123,7 @@
                     };
                 }
             };
-            case "claims-forgotten" -> new Parts() {
+            case "claims-forgotten" -> new FleetComponents() {
                 @Override
                 public Ledger ledger(Ledger.Picture picture) {
                     return new Ledger(picture) {
@@ -134,7 +134,7 @@
                     };
                 }
             };
-            case "never-refutes" -> new Parts() {
+            case "never-refutes" -> new FleetComponents() {
                 @Override
                 public Membership membership(Membership.Settings settings, Instant now, Membership.Actions actions) {
                     return new Membership(settings, now, actions) {
@@ -143,13 +143,13 @@
                     };
                 }
             };
-            case "told-before-synced" -> new Parts() {
+            case "told-before-synced" -> new FleetComponents() {
                 @Override
                 public StateFile.Files files(StateFile.Files machine) {
                     return new Hasty(machine);
                 }
             };
-            case "checked-before" -> new Parts() {
+            case "checked-before" -> new FleetComponents() {
                 @Override
                 public boolean mayBegin(LeaseHolder holder, Instant now, String lease, Duration longest) {
                     return holder.mayAct(now, lease, Duration.ZERO);
@@ -245,8 +245,8 @@
         }
     }
 
-    private static Parts desk(DeskFault fault) {
-        return new Parts() {
+    private static FleetComponents desk(DeskFault fault) {
+        return new FleetComponents() {
             @Override
             public Desk desk(Desk.Settings settings, Ledger ledger, Desk.Actions actions) {
                 return new Desk(settings, ledger, actions) {
--- a/src/main/java/rowanplank/lab/trial/RealFleet.java
+++ b/src/main/java/rowanplank/lab/trial/RealFleet.java
@@ -16,7 +16,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntFunction;
 import rowanplank.config.Addresses;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.net.ChildProcesses;
 import rowanplank.net.DirectoryFiles;
 import rowanplank.net.DoorCalls;
@@ -105,7 +105,7 @@
             Node node = nodes.get(n);
             Files.writeString(node.file, text(n));
             if (plan.fleet() && n < plan.voters()) {
-                new DirectoryFiles().create(state(node).toString(), DiskForm.create(FLEET, node.name, voters).bytes());
+                new DirectoryFiles().create(state(node).toString(), VoterFileCodec.create(FLEET, node.name, voters).bytes());
             }
         }
     }
--- a/src/main/java/rowanplank/lab/trial/Renewals.java
+++ b/src/main/java/rowanplank/lab/trial/Renewals.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.fleet.wire.Envelope;
-import rowanplank.fleet.wire.EnvelopeForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.EnvelopeCodec;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Result;
 import rowanplank.net.Loop;
@@ -48,7 +48,7 @@
 
     private final RealFleet fleet;
     private final int leader;
-    private final EnvelopeForm form;
+    private final EnvelopeCodec form;
     private final SelectorLoop loop;
     private final Map<Long, Session> sessions = new TreeMap<>();
     private final Histogram micros = new Histogram(3);
@@ -62,7 +62,7 @@
     private Renewals(RealFleet fleet, int leader) {
         this.fleet = fleet;
         this.leader = leader;
-        form = new EnvelopeForm(fleet.fleetName());
+        form = new EnvelopeCodec(fleet.fleetName());
         loop = new SelectorLoop(new SystemClock(), e -> System.err.println("unexpected failure: " + e));
     }
 
--- a/src/main/java/rowanplank/lab/trial/SameParts.java
+++ b/src/main/java/rowanplank/lab/trial/SameParts.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.RaftNode;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.BudgetDesk;
 import rowanplank.ledger.BudgetHolder;
 import rowanplank.ledger.Desk;
@@ -16,15 +16,15 @@
 import rowanplank.net.StateFile;
 
 /** The parts of others, planted faults and all: who extends it puts another one in the place of some. */
-class SameParts extends Parts {
-    private final Parts parts;
+class SameParts extends FleetComponents {
+    private final FleetComponents parts;
 
-    SameParts(Parts parts) {
+    SameParts(FleetComponents parts) {
         this.parts = parts;
     }
 
     /** The same, and so many bytes of entries in a voter's message: where they are few, a log travels in many messages. */
-    static Parts withMessages(Parts parts, int mostBytes) {
+    static FleetComponents withMessages(FleetComponents parts, int mostBytes) {
         return new SameParts(parts) {
             @Override
             public RaftNode agreement(RaftNode.Settings s, PersistentState saved, Instant now, RaftNode.Actions actions) {
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public int knows() {
-        return parts.knows();
+    public int understoodVersion() {
+        return parts.understoodVersion();
     }
 }
--- a/src/main/java/rowanplank/lab/trial/ShareTimes.java
+++ b/src/main/java/rowanplank/lab/trial/ShareTimes.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
 import rowanplank.lab.trial.judge.Told;
@@ -49,7 +49,7 @@
         Arrays.fill(copies, COPIES);
         Duration[] starts = new Duration[nodes];
         Arrays.setAll(starts, n -> n < nodes - late ? Duration.ZERO : FROM);
-        return new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, new Parts()), faults, new BudgetSubject(plan,
+        return new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, new FleetComponents()), faults, new BudgetSubject(plan,
                 new BudgetSubject.Set(EACH * nodes, 0, copies, copies, Duration.ofMillis(50), LONGEST, starts))).play();
     }
 
--- a/src/main/java/rowanplank/lab/trial/StandInParts.java
+++ b/src/main/java/rowanplank/lab/trial/StandInParts.java
@@ -7,7 +7,7 @@
 import java.nio.file.StandardCopyOption;
 import java.time.Duration;
 import java.time.Instant;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.BudgetHolder;
 import rowanplank.ledger.LeaseHolder;
 import rowanplank.net.Loop;
@@ -34,7 +34,7 @@
      * @param mostBytes of the entries in a voter's message
      * @param file the operator's
      */
-    public StandInParts(Parts parts, int mostBytes, String file) {
+    public StandInParts(FleetComponents parts, int mostBytes, String file) {
         super(withMessages(parts, mostBytes));
         hold = Path.of(file + HOLD);
         held = Path.of(file + HELD);
--- a/src/main/java/rowanplank/lab/trial/Trial.java
+++ b/src/main/java/rowanplank/lab/trial/Trial.java
@@ -23,7 +23,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import rowanplank.config.Addresses;
-import rowanplank.fleet.wire.EnvelopeForm;
+import rowanplank.fleet.wire.EnvelopeCodec;
 import rowanplank.lab.trial.judge.BudgetJudge;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
@@ -291,7 +291,7 @@
     /** It reaches voters past the relays: what is lost and doubled of its datagrams is its own doing. */
     private void beginClient() {
         try {
-            clientsSocket = loop.datagrams(ports.next(), EnvelopeForm.MOST_BYTES, (from, payload) -> client.received(payload));
+            clientsSocket = loop.datagrams(ports.next(), EnvelopeCodec.MAX_DATAGRAM_BYTES, (from, payload) -> client.received(payload));
         } catch (IOException e) {
             unforeseen(e);
             return;
--- a/src/main/java/rowanplank/lab/trial/TrialCase.java
+++ b/src/main/java/rowanplank/lab/trial/TrialCase.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 
 /**
  * One trial with all that it hangs on: played again in virtual time it gives the same history and the same verdict, on
@@ -37,8 +37,8 @@
         return new TrialCase(plan.kind(), plan.nodes(), plan.seed(), plan.length(), plan.lease(), drift, plant, rule, trial.faults());
     }
 
-    private static Parts parts(String plant) {
-        return plant.isEmpty() ? new Parts() : Plants.parts(plant);
+    private static FleetComponents parts(String plant) {
+        return plant.isEmpty() ? new FleetComponents() : Plants.parts(plant);
     }
 
     public TrialResult play() {
--- a/src/main/java/rowanplank/lab/trial/TrialNode.java
+++ b/src/main/java/rowanplank/lab/trial/TrialNode.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.function.IntConsumer;
 import rowanplank.config.Addresses;
-import rowanplank.fleet.wire.DiskForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.net.ChildProcesses;
 import rowanplank.net.DirectoryFiles;
 
@@ -74,7 +74,7 @@
 
     void makeState(String fleetName, List<String> voters) throws IOException {
         fleet = fleetName;
-        new DirectoryFiles().create(state().toString(), DiskForm.create(fleet, name, voters).bytes());
+        new DirectoryFiles().create(state().toString(), VoterFileCodec.create(fleet, name, voters).bytes());
     }
 
     boolean runs() {
@@ -140,7 +140,7 @@
 
     private static int whole(byte[] content, String fleet, String node) throws IOException {
         try {
-            return DiskForm.read(content, fleet, node).length();
+            return VoterFileCodec.read(content, fleet, node).length();
         } catch (MalformedException e) {
             throw new IOException("the state of " + node + " was damaged before", e);
         }
--- a/src/main/java/rowanplank/lab/trial/TrialPlan.java
+++ b/src/main/java/rowanplank/lab/trial/TrialPlan.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import rowanplank.fleet.wire.EnvelopeForm;
+import rowanplank.fleet.wire.EnvelopeCodec;
 
 /**
  * What a trial is to be.
@@ -67,7 +67,7 @@
      * the trials there is time for a fault between one and the next.
      */
     int mostBytes() {
-        return seed % 5 == 0 ? SMALL : EnvelopeForm.MOST_CONTENT;
+        return seed % 5 == 0 ? SMALL : EnvelopeCodec.MAX_CONTENT_BYTES;
     }
 
     static String name(int node) {
--- a/src/main/java/rowanplank/lab/trial/VirtualClients.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualClients.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.apache.commons.rng.UniformRandomProvider;
-import rowanplank.fleet.Fleet;
+import rowanplank.fleet.FleetNode;
 import rowanplank.lab.trial.Subject.Notes;
 import rowanplank.lab.trial.judge.Event.Kind;
 import rowanplank.lab.world.World;
@@ -45,7 +45,7 @@
     }
 
     /** One process of a node: what is open there, and for whom it takes no clients. */
-    final class Life implements Fleet.Clients {
+    final class Life implements FleetNode.Clients {
         private final int node;
         private final VirtualLoop loop;
         private final Map<Long, Runnable> open = new TreeMap<>();
--- a/src/main/java/rowanplank/lab/trial/VirtualFleet.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualFleet.java
@@ -15,9 +15,9 @@
 import java.util.stream.IntStream;
 import rowanplank.balancer.BalancerApi;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.Parts;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.FleetComponents;
+import rowanplank.fleet.FleetNode;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.lab.day.Day;
 import rowanplank.lab.net.Process;
 import rowanplank.lab.net.SimMachine;
@@ -85,12 +85,12 @@
 
     final class Node {
         private final FleetConfig config;
-        private final Fleet fleet;
+        private final FleetNode fleet;
         private final VirtualLoop loop;
         private final VirtualDisk disk;
         private String failed;
 
-        private Node(FleetConfig config, byte[] state, Fleet.Clients clients) {
+        private Node(FleetConfig config, byte[] state, FleetNode.Clients clients) {
             this.config = config;
             SimProcess process = machines.computeIfAbsent(config.listen(), at -> network.machine(config.node() + incarnations,
                     0, at.getAddress())).boot(Process.unbounded(config.node()), e -> {
@@ -104,10 +104,10 @@
             }));
             RateLimitedLog log = new RateLimitedLog(loop.clock(), (warning, line, cause) ->
                     lines.add(config.node() + ": " + line));
-            fleet = new Fleet(config, ++incarnations, new Parts(), new Fleet.Machine(loop,
+            fleet = new FleetNode(config, ++incarnations, new FleetComponents(), new FleetNode.Platform(loop,
                     disk = new VirtualDisk(world.random("disk " + incarnations), state),
                     (directory, file, content, outdated, done) -> { }, (command, environment, ended) -> null, log));
-            fleet.serves(clients);
+            fleet.setClients(clients);
             loop.execute(() -> {
                 try {
                     fleet.start();
@@ -163,7 +163,7 @@
         }
 
         /** After it was killed: another process from the same file and disk. */
-        Node startAgain(Fleet.Clients clients) {
+        Node startAgain(FleetNode.Clients clients) {
             return start(config, disk.content(), clients);
         }
 
@@ -185,11 +185,11 @@
         }
 
         void work(Consumer<JsonObject> told) {
-            loop.execute(() -> fleet.work(told));
+            loop.execute(() -> fleet.requestWorkStatus(told));
         }
 
         void say(Command.Staff words, Consumer<Result> told) {
-            loop.execute(() -> fleet.say(words, told));
+            loop.execute(() -> fleet.submitStaffCommand(words, told));
         }
 
         private String thinksOf(String other) {
@@ -204,10 +204,10 @@
 
     /** @param state what is on its disk; null where it has none */
     Node start(FleetConfig config, byte[] state) {
-        return start(config, state, Fleet.Clients.servedBy(() -> true));
+        return start(config, state, FleetNode.Clients.servedBy(() -> true));
     }
 
-    Node start(FleetConfig config, byte[] state, Fleet.Clients clients) {
+    Node start(FleetConfig config, byte[] state, FleetNode.Clients clients) {
         Node node = new Node(config, state, clients);
         nodes.put(config.listen(), node);
         return node;
@@ -257,7 +257,7 @@
         List<Node> all = new ArrayList<>();
         for (int n = 0; n < count; n++) {
             all.add(fleet.start(usual(n, voters, count, lease, servers), n >= voters.size() ? null
-                    : DiskForm.create(FLEET, TrialPlan.name(n), List.copyOf(voters.keySet())).bytes()));
+                    : VoterFileCodec.create(FLEET, TrialPlan.name(n), List.copyOf(voters.keySet())).bytes()));
         }
         all.forEach(n -> n.use(servers));
         fleet.pass(Duration.ofSeconds(20));
--- a/src/main/java/rowanplank/lab/trial/VirtualTrial.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualTrial.java
@@ -18,9 +18,9 @@
 import java.util.function.IntFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.Parts;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.FleetComponents;
+import rowanplank.fleet.FleetNode;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.lab.day.Day;
 import rowanplank.lab.net.Process;
 import rowanplank.lab.net.SimMachine;
@@ -64,13 +64,13 @@
      * @param parts of each node
      * @param more leases that all nodes want, beside those that are judged
      */
-    public record Setting(TrialPlan plan, double drift, IntFunction<Parts> parts, List<FleetConfig.Lease> more) {
+    public record Setting(TrialPlan plan, double drift, IntFunction<FleetComponents> parts, List<FleetConfig.Lease> more) {
         public Setting {
             more = List.copyOf(more);
         }
 
         /** The same parts at all nodes. */
-        public static Setting of(TrialPlan plan, double drift, Parts parts) {
+        public static Setting of(TrialPlan plan, double drift, FleetComponents parts) {
             return new Setting(plan, drift, n -> parts, List.of());
         }
     }
@@ -136,7 +136,7 @@
         final VirtualDisk disk;
         final double rate;
         VirtualLoop loop;
-        Fleet fleet;
+        FleetNode fleet;
         /** Null where it has no clients. */
         VirtualClients.Life life;
         boolean spoilt;
@@ -154,7 +154,7 @@
             machine = network.machine(name(), 0, ip);
             address = new InetSocketAddress(ip, PORT);
             disk = new VirtualDisk(world.random("disk " + number), number < plan.voters()
-                    ? DiskForm.create(FLEET, name(), List.copyOf(voters().keySet())).bytes() : null);
+                    ? VoterFileCodec.create(FLEET, name(), List.copyOf(voters().keySet())).bytes() : null);
             rate = 1 + setting.drift() * (2 * world.random("clock " + number).nextDouble() - 1);
         }
 
@@ -178,14 +178,14 @@
             loop = new VirtualLoop(world, process, rate, VirtualTrial.this::carry);
             RateLimitedLog lines = new RateLimitedLog(loop.clock(), (warning, line, cause) ->
                     log.add(micros() + " " + name() + ": " + line + (cause == null ? "" : " " + cause)));
-            fleet = new Fleet(config(), ++incarnations, parts(),
-                    new Fleet.Machine(loop, disk, (directory, file, content, outdated, done) ->
+            fleet = new FleetNode(config(), ++incarnations, parts(),
+                    new FleetNode.Platform(loop, disk, (directory, file, content, outdated, done) ->
                             process.execute(() -> done.accept(null)), programs(this, process), lines));
             if (clients == null) {
-                fleet.servesBy(() -> true);
+                fleet.setReadyCheck(() -> true);
             } else {
                 life = clients.new Life(number, loop);
-                fleet.serves(life);
+                fleet.setClients(life);
             }
             loop.execute(() -> {
                 try {
@@ -197,7 +197,7 @@
             });
         }
 
-        private Parts parts() {
+        private FleetComponents parts() {
             return SameParts.withMessages(setting.parts().apply(number), plan.mostBytes());
         }
 
@@ -213,7 +213,7 @@
         void reload() {
             subject.written(number, VirtualTrial.this::tell);
             if (loop != null) {
-                Fleet running = fleet;
+                FleetNode running = fleet;
                 loop.execute(() -> running.reload(config()));
             }
         }
@@ -503,10 +503,10 @@
         String lease = subject.asked();
         if (reader.fleet != null && lease != null) {
             long number = ++reads;
-            Fleet asked = reader.fleet;
+            FleetNode asked = reader.fleet;
             reader.loop.execute(() -> {
                 tell(Kind.ASKED, reader.name(), lease, 0, number, "");
-                asked.read(lease, r -> {
+                asked.readLease(lease, r -> {
                     if (r != null) {
                         tell(Kind.READ, reader.name(), lease, r.value(), number,
                                 r.kind() == Result.Kind.HELD ? "held" : "free");
@@ -536,7 +536,7 @@
 
         @Override
         public void say(int node, WorkWords words, Consumer<String> told) {
-            Fleet asked = nodes.get(node).fleet;
+            FleetNode asked = nodes.get(node).fleet;
             boolean[] answered = new boolean[1];
             Consumer<String> once = answer -> {
                 if (!answered[0]) {
@@ -544,7 +544,7 @@
                     told.accept(answer);
                 }
             };
-            nodes.get(node).loop.execute(() -> asked.say(words.command(nodes.get(node).name()), r -> once.accept(
+            nodes.get(node).loop.execute(() -> asked.submitStaffCommand(words.command(nodes.get(node).name()), r -> once.accept(
                     r == null || r.kind() == Result.Kind.TOO_NEW ? "unknown" : r.kind() == Result.Kind.SET ? "done" : "refused")));
             world.after(SAID_WITHIN, () -> once.accept("unknown"));
         }
@@ -624,7 +624,7 @@
             if (node.ending) {
                 return; // it ends once, however often it is asked
             }
-            Fleet stopping = node.fleet;
+            FleetNode stopping = node.fleet;
             VirtualTrial.this.tell(Kind.KILLED, node.name(), "", 0, 0, "asked to end");
             node.ending = true;
             world.after(ENDS_WITHIN, () -> {
@@ -700,7 +700,7 @@
         @Override
         public void changeVoters(int voter, boolean add) {
             if (leader >= 0 && nodes.get(leader).fleet != null) {
-                Fleet fleet = nodes.get(leader).fleet;
+                FleetNode fleet = nodes.get(leader).fleet;
                 nodes.get(leader).loop.execute(() -> fleet.changeVoters(TrialPlan.name(voter), add));
             }
         }
@@ -717,7 +717,7 @@
             if (asked == null) {
                 return;
             }
-            Fleet fleet = nodes.get(leader).fleet;
+            FleetNode fleet = nodes.get(leader).fleet;
             String name = nodes.get(leader).name();
             long number = ++wholes;
             nodes.get(leader).loop.execute(() -> {
@@ -737,7 +737,7 @@
 
         @Override
         public void release(int n) {
-            Fleet fleet = nodes.get(n).fleet;
+            FleetNode fleet = nodes.get(n).fleet;
             nodes.get(n).loop.execute(() -> fleet.release(TrialPlan.LEASE));
         }
 
--- a/src/main/java/rowanplank/lab/trial/WorkPlants.java
+++ b/src/main/java/rowanplank/lab/trial/WorkPlants.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Budgets;
 import rowanplank.ledger.Command;
@@ -40,7 +40,7 @@
     }
 
     /** Null where there is no fault of that name. */
-    static Parts parts(String name) {
+    static FleetComponents parts(String name) {
         return switch (name) {
             case "work-bound-unheld" -> unheld();
             case "work-order-reversed" -> ledger(Reversed::new);
@@ -52,8 +52,8 @@
         };
     }
 
-    private static Parts ledger(Supplier<Work> work) {
-        return new Parts() {
+    private static FleetComponents ledger(Supplier<Work> work) {
+        return new FleetComponents() {
             @Override
             public Ledger ledger(Ledger.Picture picture) {
                 return new Ledger(picture, new Budgets(), work.get());
@@ -61,8 +61,8 @@
         };
     }
 
-    private static Parts unheld() {
-        return new Parts() {
+    private static FleetComponents unheld() {
+        return new FleetComponents() {
             @Override
             public Ledger ledger(Ledger.Picture picture) {
                 return new Ledger(picture, new Budgets(), new Work() {
@@ -113,8 +113,8 @@
         }
     }
 
-    private static Parts holder(String name) {
-        return new Parts() {
+    private static FleetComponents holder(String name) {
+        return new FleetComponents() {
             @Override
             public WorkHolder workHolder(WorkHolder.Settings settings, Instant now, WorkHolder.Actions actions) {
                 return new WorkHolder(settings, now, name.equals("work-serves-unasked") ? new Hasty(actions) : actions) {
@@ -175,8 +175,8 @@
         }
     }
 
-    private static Parts desk(String name) {
-        return new Parts() {
+    private static FleetComponents desk(String name) {
+        return new FleetComponents() {
             @Override
             public WorkDesk workDesk(WorkDesk.Settings settings, Ledger ledger, WorkDesk.Actions actions) {
                 return new WrongDesk(name, settings, ledger, actions);
--- a/src/main/java/rowanplank/lab/trial/WorkPlay.java
+++ b/src/main/java/rowanplank/lab/trial/WorkPlay.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.FleetNode;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Result;
@@ -52,7 +52,7 @@
     private long load = OPEN;
 
     /** A machine with its node, or without one. */
-    final class Seat implements Fleet.Clients {
+    final class Seat implements FleetNode.Clients {
         final String name;
         VirtualFleet.Node node;
         /** By hand. */
@@ -135,7 +135,7 @@
             Seat seat = new Seat(TrialPlan.name(n));
             seats.add(seat);
             seat.node = fleet.start(config(n, voters), n >= plan.voters() ? null
-                    : DiskForm.create(FLEET, seat.name, List.copyOf(voters.keySet())).bytes(), seat);
+                    : VoterFileCodec.create(FLEET, seat.name, List.copyOf(voters.keySet())).bytes(), seat);
         }
         pass(Duration.ofSeconds(15));
     }
--- a/src/main/java/rowanplank/node/Node.java
+++ b/src/main/java/rowanplank/node/Node.java
@@ -20,7 +20,7 @@
 import rowanplank.discovery.DiscoveryWatch;
 import rowanplank.discovery.UpstreamGroup;
 import rowanplank.exchange.Transfer;
-import rowanplank.fleet.Fleet;
+import rowanplank.fleet.FleetNode;
 import rowanplank.intake.admin.AdminDoor;
 import rowanplank.intake.http.Intake;
 import rowanplank.ledger.Ask;
@@ -55,7 +55,7 @@
     /** Watches discovery at its new address until its whole list is in; null while there is none. */
     private DiscoveryWatch nextWatch;
     private Runnable whenStopped;
-    private Fleet fleet;
+    private FleetNode fleet;
     private FleetLimits bounds = FleetLimits.NONE;
 
     public Node(NodeConfig config, Loop loop, RateLimitedLog log) {
@@ -127,9 +127,9 @@
     }
 
     /** The operators' door answers for this part in a fleet as well; to be called before it opens. */
-    public void join(Fleet part) {
+    public void join(FleetNode part) {
         fleet = part;
-        part.serves(new ClientsOfTheFleet());
+        part.setClients(new ClientsOfTheFleet());
         decisions.useFleetLimits(part.places(), part.bounds());
         bounds = part.bounds();
         watch.bound(bounds);
@@ -234,7 +234,7 @@
     }
 
     /** The order of work drains by the lifecycle, as an operator does. */
-    private final class ClientsOfTheFleet implements Fleet.Clients {
+    private final class ClientsOfTheFleet implements FleetNode.Clients {
         private final Life life = new Life();
 
         @Override
@@ -266,7 +266,7 @@
     }
 
     /** What staff ask of the fleet, in the words of its ledger. */
-    private record FleetsDoor(Fleet fleet) implements AdminDoor.FleetPart {
+    private record FleetsDoor(FleetNode fleet) implements AdminDoor.FleetPart {
         @Override
         public JsonObject status() {
             return fleet.status();
@@ -274,7 +274,7 @@
 
         @Override
         public void read(String lease, Consumer<JsonObject> told) {
-            fleet.read(lease, r -> told.accept(r == null ? null : new JsonObject().add("lease", lease)
+            fleet.readLease(lease, r -> told.accept(r == null ? null : new JsonObject().add("lease", lease)
                     .add("held", r.kind() == Result.Kind.HELD).add("holder", r.node()).add("fence", r.value())));
         }
 
@@ -290,12 +290,12 @@
 
         @Override
         public void say(Command.Staff words, Consumer<Result> told) {
-            fleet.say(words, told);
+            fleet.submitStaffCommand(words, told);
         }
 
         @Override
         public void work(Consumer<JsonObject> told) {
-            fleet.work(told);
+            fleet.requestWorkStatus(told);
         }
 
         @Override
--- a/src/test/java/rowanplank/fleet/TurnsTest.java
+++ b/src/test/java/rowanplank/fleet/SerialExecutorTest.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TurnsTest {
+class SerialExecutorTest {
     /** Guards a node whose program's file was replaced under it: what fails once must not keep all that comes later waiting. */
     @Test
     void whatFailsIsToldAndKeepsNothingWaiting() {
         List<String> told = new ArrayList<>();
-        Turns turns = new Turns(() -> told.add("all done"), e -> told.add("failed: " + e.getMessage()));
+        SerialExecutor turns = new SerialExecutor(() -> told.add("all done"), e -> told.add("failed: " + e.getMessage()));
         turns.run(() -> {
-            turns.then(() -> told.add("dropped"));
+            turns.runLater(() -> told.add("dropped"));
             throw new NoClassDefFoundError("Peer");
         });
         turns.run(() -> told.add("later"));
--- a/src/test/java/rowanplank/fleet/PlaceKeeperTest.java
+++ b/src/test/java/rowanplank/fleet/SlotLimiterTest.java
@@ -23,7 +23,7 @@
 import rowanplank.net.StandingLoop;
 
 /** Places at page servers as discovery lists them: ten servers, four places each. */
-class PlaceKeeperTest {
+class SlotLimiterTest {
     private static final Instant NOW = Instant.EPOCH;
     private static final BalancerApi.Settings SITE = new BalancerApi.Settings(1, 0, 0, List.of(new BalancerApi.RequestClass(400,
             1200, 1, 0.2, BalancerApi.Effect.REPEATABLE, BalancerApi.DedupGroup.ALL, 0, false)), List.of(), 0.1,
@@ -42,7 +42,7 @@
                 @Override
                 public void more(String budget) { }
             });
-    private final PlaceKeeper keeper = new PlaceKeeper(sharing.places(), "n1", new StandingLoop(), holder, this::share,
+    private final SlotLimiter keeper = new SlotLimiter(sharing.places(), "n1", new StandingLoop(), holder, this::share,
             () -> holder.onTime(NOW));
 
     private void share() {
--- a/src/test/java/rowanplank/fleet/TaskRunnerTest.java
+++ b/src/test/java/rowanplank/fleet/TaskRunnerTest.java
@@ -86,7 +86,7 @@
             }
         };
         tasks = new TaskRunner(config, loop, (command, given, told) -> start(given, told),
-                new RateLimitedLog(loop.clock(), RateLimitedLog.Sink.system()), new Parts(), holder, () -> { });
+                new RateLimitedLog(loop.clock(), RateLimitedLog.Sink.system()), new FleetComponents(), holder, () -> { });
         tasks.granted(loop.clock().now(), "nightly");
         pass(0);
     }
--- a/src/test/java/rowanplank/fleet/wire/EnvelopeFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/EnvelopeCodecTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import rowanplank.agreement.Entry;
 import rowanplank.agreement.Message;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Result;
@@ -19,8 +19,8 @@
 import rowanplank.membership.GossipMessage;
 import rowanplank.membership.MemberUpdate;
 
-class EnvelopeFormTest {
-    private static final EnvelopeForm FORM = new EnvelopeForm("press");
+class EnvelopeCodecTest {
+    private static final EnvelopeCodec FORM = new EnvelopeCodec("press");
 
     private static final List<MemberUpdate> NEWS = List.of(new MemberUpdate("n4", "10.0.0.4:7946", 1L << 60, MemberUpdate.State.SUSPECT, true, "n2"),
             new MemberUpdate("n5", "10.0.0.5:7946", 1, MemberUpdate.State.ALIVE, false, ""));
@@ -82,6 +82,6 @@
             spoilt[i] ^= 32;
             assertThrows(MalformedException.class, () -> FORM.read(ByteBuffer.wrap(spoilt)));
         }
-        assertThrows(MalformedException.class, () -> new EnvelopeForm("other").read(ByteBuffer.wrap(bytes)));
+        assertThrows(MalformedException.class, () -> new EnvelopeCodec("other").read(ByteBuffer.wrap(bytes)));
     }
 }
--- a/src/test/java/rowanplank/fleet/wire/LedgerFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/LedgerCodecTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import rowanplank.agreement.RaftNode;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 import rowanplank.ledger.Budgets;
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Ledger;
@@ -18,7 +18,7 @@
 import rowanplank.ledger.Share;
 import rowanplank.ledger.Window;
 
-class LedgerFormTest {
+class LedgerCodecTest {
     private static Ledger.Picture picture(int level, List<Ledger.Run> runs) {
         return new Ledger.Picture(90, -7, 41, level, List.of(new Ledger.Session(3, "n1", 1L << 50, 4,
                 Map.of(4L, Result.of(Result.Kind.GRANTED, 41)))),
@@ -28,25 +28,25 @@
     /** Guards a snapshot that was cut on its way or on disk, at any byte. */
     @Test
     void aCutPictureIsRefused() throws Exception {
-        byte[] whole = LedgerForm.picture(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))));
-        assertEquals(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))), LedgerForm.picture(whole));
+        byte[] whole = LedgerCodec.snapshot(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))));
+        assertEquals(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))), LedgerCodec.snapshot(whole));
         for (int length = 1; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedException.class, () -> LedgerForm.picture(cut), length + " bytes");
+            assertThrows(MalformedException.class, () -> LedgerCodec.snapshot(cut), length + " bytes");
         }
     }
 
     /** Guards versions side by side: what an older build understood is written as it understands it. */
     @Test
     void anOlderBuildReadsWhatItKnowsAndRefusesTheRest() throws Exception {
-        assertEquals(1, LedgerForm.picture(picture(1, List.of()))[0]);
-        assertEquals(picture(1, List.of()), LedgerForm.picture(LedgerForm.picture(picture(1, List.of()))));
+        assertEquals(1, LedgerCodec.snapshot(picture(1, List.of()))[0]);
+        assertEquals(picture(1, List.of()), LedgerCodec.snapshot(LedgerCodec.snapshot(picture(1, List.of()))));
         Command known = new Command.Acquire(3, 1, 5, "nightly", Duration.ofSeconds(4));
-        assertEquals(known, LedgerForm.command(LedgerForm.command(known), 1));
+        assertEquals(known, LedgerCodec.command(LedgerCodec.command(known), 1));
         Command claim = new Command.Claim(3, 1, 5, "nightly", 41, "stamp", 20_000);
-        assertEquals(claim, LedgerForm.command(LedgerForm.command(claim), 2));
+        assertEquals(claim, LedgerCodec.command(LedgerCodec.command(claim), 2));
         MalformedException told = assertThrows(MalformedException.class,
-                () -> LedgerForm.command(LedgerForm.command(claim), 1));
+                () -> LedgerCodec.command(LedgerCodec.command(claim), 1));
         assertEquals("version 2, and this one knows 1 to 1", told.getMessage());
     }
 
@@ -59,19 +59,19 @@
                 List.of(new Budgets.Part("starts", 3, some, Share.NONE, 7)));
         Ledger.Picture p = new Ledger.Picture(90, -7, 41, 3, List.of(new Ledger.Session(3, "n1", -50, 4, Map.of())),
                 List.of(), List.of(), budgets);
-        byte[] whole = LedgerForm.picture(p);
-        assertEquals(p, LedgerForm.picture(whole));
+        byte[] whole = LedgerCodec.snapshot(p);
+        assertEquals(p, LedgerCodec.snapshot(whole));
         for (int length = 1; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedException.class, () -> LedgerForm.picture(cut), length + " bytes");
+            assertThrows(MalformedException.class, () -> LedgerCodec.snapshot(cut), length + " bytes");
         }
         for (Command c : List.of(new Command.Define("starts", true, some, Share.NONE, 3), new Command.Resize("starts", some),
                 new Command.Join(3, 1, 5, Duration.ofSeconds(1), Duration.ofMillis(400)),
                 new Command.Divide(List.of(new Command.Target("starts", 3, some))),
                 new Command.Give(3, 1, 5, 77, "starts", some), new Command.Leave(3, 1, 5),
                 new Command.Lapse(List.of(new Command.Gone(3, 77))))) {
-            assertEquals(c, LedgerForm.command(LedgerForm.command(c), 3));
-            assertThrows(MalformedException.class, () -> LedgerForm.command(LedgerForm.command(c), 2));
+            assertEquals(c, LedgerCodec.command(LedgerCodec.command(c), 3));
+            assertThrows(MalformedException.class, () -> LedgerCodec.command(LedgerCodec.command(c), 2));
         }
     }
 
@@ -93,7 +93,7 @@
             }
         }
         assertEquals(Ledger.MOST_LEASES, ledger.leases().size());
-        int bytes = LedgerForm.picture(ledger.picture()).length;
+        int bytes = LedgerCodec.snapshot(ledger.picture()).length;
         assertTrue(bytes < RaftNode.MAX_SNAPSHOT_BYTES, bytes + " bytes");
     }
 
@@ -104,28 +104,28 @@
         Command.Staff night = new Command.Staff(8, Command.StaffWord.ASK, List.of("n1"), "n2", "", true, false, 9,
                 Window.parse("22:00-04:30"));
         Command.Staff forget = new Command.Staff(9, Command.StaffWord.FORGET, List.of("n1"), "n2", "", false, false, 0);
-        assertEquals(plain, LedgerForm.command(LedgerForm.command(plain), 4));
+        assertEquals(plain, LedgerCodec.command(LedgerCodec.command(plain), 4));
         for (Command later : List.of(night, forget, new Command.Halt("n1 came back badly"))) {
-            assertEquals(5, LedgerForm.versionOf(later));
-            assertEquals(later, LedgerForm.command(LedgerForm.command(later), 5));
-            assertThrows(MalformedException.class, () -> LedgerForm.command(LedgerForm.command(later), 4));
+            assertEquals(5, LedgerCodec.versionOf(later));
+            assertEquals(later, LedgerCodec.command(LedgerCodec.command(later), 5));
+            assertThrows(MalformedException.class, () -> LedgerCodec.command(LedgerCodec.command(later), 4));
         }
         Ledger ledger = new Ledger(Ledger.Picture.empty());
         ledger.apply(1, new Command.Raise(5));
         ledger.apply(2, new Command.Announce("n1", "n1", "north"));
         ledger.apply(3, night);
-        byte[] whole = LedgerForm.picture(ledger.picture());
+        byte[] whole = LedgerCodec.snapshot(ledger.picture());
         assertEquals(5, whole[0]);
-        assertEquals(ledger.picture(), LedgerForm.picture(whole));
+        assertEquals(ledger.picture(), LedgerCodec.snapshot(whole));
         for (int length = 1; length < whole.length; length++) {
             byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedException.class, () -> LedgerForm.picture(cut), length + " bytes");
+            assertThrows(MalformedException.class, () -> LedgerCodec.snapshot(cut), length + " bytes");
         }
         Ledger older = new Ledger(Ledger.Picture.empty());
         older.apply(1, new Command.Raise(4));
         older.apply(2, new Command.Announce("n1", "n1", "north"));
         older.apply(3, plain);
-        assertEquals(4, LedgerForm.picture(older.picture())[0]);
-        assertEquals(older.picture(), LedgerForm.picture(LedgerForm.picture(older.picture())));
+        assertEquals(4, LedgerCodec.snapshot(older.picture())[0]);
+        assertEquals(older.picture(), LedgerCodec.snapshot(LedgerCodec.snapshot(older.picture())));
     }
 }
--- a/src/test/java/rowanplank/fleet/wire/DiskFormTest.java
+++ b/src/test/java/rowanplank/fleet/wire/VoterFileCodecTest.java
@@ -12,22 +12,22 @@
 import rowanplank.agreement.PersistentState;
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
 
-class DiskFormTest {
+class VoterFileCodecTest {
     private static final List<String> VOTERS = List.of("n1", "n2", "n3");
     private int lastRecord;
 
     /** A file with a vote, and entries of which the second is written over. */
     private byte[] file() {
-        DiskForm.Written w = DiskForm.create("press", "n1", VOTERS);
+        VoterFileCodec.Encoded w = VoterFileCodec.create("press", "n1", VOTERS);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(w.bytes());
         for (Write write : List.of(new Write.Vote(3, "n2"),
                 new Write.Entries(List.of(Entry.noOp(1, 3), Entry.command(2, 3, new byte[] {1}))),
                 new Write.Entries(List.of(Entry.command(2, 4, new byte[] {9, 9}))))) {
             lastRecord = out.size();
-            w = DiskForm.write(w.chain(), write);
+            w = VoterFileCodec.write(w.chain(), write);
             out.writeBytes(w.bytes());
         }
         return out.toByteArray();
@@ -35,7 +35,7 @@
 
     @Test
     void whatWasWrittenIsRead() throws Exception {
-        DiskForm.Read read = DiskForm.read(file(), "press", "n1");
+        VoterFileCodec.ReadFile read = VoterFileCodec.read(file(), "press", "n1");
         assertEquals(3, read.saved().term());
         assertEquals("n2", read.saved().vote());
         assertEquals(List.of(3L, 4L), read.saved().entries().stream().map(Entry::term).toList());
@@ -49,7 +49,7 @@
         for (int bit = 0; bit < file.length * 8; bit++) {
             byte[] spoilt = file.clone();
             spoilt[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows(MalformedException.class, () -> DiskForm.read(spoilt, "press", "n1"), "bit " + bit);
+            assertThrows(MalformedException.class, () -> VoterFileCodec.read(spoilt, "press", "n1"), "bit " + bit);
         }
     }
 
@@ -57,7 +57,7 @@
     void aRecordThatWasBrokenOffIsCut() throws Exception {
         byte[] file = file();
         for (int length = lastRecord; length < file.length; length++) {
-            DiskForm.Read read = DiskForm.read(Arrays.copyOf(file, length), "press", "n1");
+            VoterFileCodec.ReadFile read = VoterFileCodec.read(Arrays.copyOf(file, length), "press", "n1");
             assertEquals(lastRecord, read.length());
             assertEquals(List.of(3L, 3L), read.saved().entries().stream().map(Entry::term).toList());
         }
@@ -67,20 +67,20 @@
     @Test
     void aSnapshotThatIsCutIsRefused() throws Exception {
         Snapshot snapshot = new Snapshot(900, 7, VOTERS, new byte[3000]);
-        byte[] whole = DiskForm.anew("press", "n1", new Write.FullState(new PersistentState(8, "n2", snapshot,
+        byte[] whole = VoterFileCodec.replacement("press", "n1", new Write.FullState(new PersistentState(8, "n2", snapshot,
                 List.of(Entry.command(901, 8, new byte[500]))))).bytes();
-        assertEquals(900, DiskForm.read(whole, "press", "n1").saved().snapshot().index());
+        assertEquals(900, VoterFileCodec.read(whole, "press", "n1").saved().snapshot().index());
         for (int length = 0; length < whole.length; length += 10) {
             byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedException.class, () -> DiskForm.read(cut, "press", "n1"), length + " bytes");
+            assertThrows(MalformedException.class, () -> VoterFileCodec.read(cut, "press", "n1"), length + " bytes");
         }
     }
 
     @Test
     void anothersFileIsRefused() {
-        String line = assertThrows(MalformedException.class, () -> DiskForm.read(file(), "press", "n2")).getMessage();
+        String line = assertThrows(MalformedException.class, () -> VoterFileCodec.read(file(), "press", "n2")).getMessage();
         assertTrue(line.contains("n1"), line);
-        assertThrows(MalformedException.class, () -> DiskForm.read(file(), "other", "n1"));
-        assertThrows(MalformedException.class, () -> DiskForm.read(new byte[0], "press", "n1"));
+        assertThrows(MalformedException.class, () -> VoterFileCodec.read(file(), "other", "n1"));
+        assertThrows(MalformedException.class, () -> VoterFileCodec.read(new byte[0], "press", "n1"));
     }
 }
--- a/src/test/java/rowanplank/lab/trial/BudgetCasesTest.java
+++ b/src/test/java/rowanplank/lab/trial/BudgetCasesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.TrialFault.What;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
@@ -35,7 +35,7 @@
     /** @param copies of each node, @param after once its file has changed, @param late ms after which the last so many nodes start */
     private record Case(String name, int nodes, int whole, int fixed, int[] copies, int[] after, Duration pause, int[] late,
             int seconds, List<TrialFault> faults, Predicate<Seen> holds) {
-        TrialResult play(long seed, Parts parts) {
+        TrialResult play(long seed, FleetComponents parts) {
             TrialPlan plan = new TrialPlan(TrialKind.BUDGETS, nodes, seed, Duration.ofSeconds(seconds), Duration.ofSeconds(4),
                     Duration.ofSeconds(1), List.of(), Trouble.GAP, List.of(), List.of(), "");
             Duration[] starts = IntStream.range(0, nodes).mapToObj(n -> Duration.ofMillis(late.length > 0
@@ -133,7 +133,7 @@
     @MethodSource("cases")
     void isBorne(Case c) {
         for (long seed = 1; seed <= (c.nodes() > 20 || c.seconds() > 30 ? 1 : SEEDS); seed++) {
-            TrialResult r = c.play(seed, new Parts());
+            TrialResult r = c.play(seed, new FleetComponents());
             assertEquals(List.of(), r.findings(), "seed " + seed + "\n" + r.text());
             assertTrue(c.holds().test(new Seen(r)), "seed " + seed + "\n" + r.text() + told(r));
         }
@@ -145,14 +145,14 @@
         Case c = of("clocks", 5, 6, 0, all(5, 4), 20, s -> true, TrialFault.cut(0, 4000, "n5>*", "*>n5"),
                 TrialFault.of(3000, What.STALL, "n4", 900), TrialFault.cut(6000, 4000, "n4>*", "*>n4"));
         for (long seed = 1; seed <= 2 * SEEDS; seed++) {
-            assertEquals(List.of(), c.play(seed, new Parts()).findings(), "seed " + seed);
+            assertEquals(List.of(), c.play(seed, new FleetComponents()).findings(), "seed " + seed);
         }
     }
 
     /** @param name of the fault, @param rule by which it is found, @param starts null where nobody uses any */
     private record Planted(String name, String rule, int nodes, int whole, int fixed, int[] copies, int[] after,
             BudgetSubject.Starts starts, Duration longest, int seconds, List<TrialFault> faults) {
-        List<String> rules(long seed, Parts parts) {
+        List<String> rules(long seed, FleetComponents parts) {
             TrialPlan plan = new TrialPlan(TrialKind.BUDGETS, nodes, seed, Duration.ofSeconds(seconds), Duration.ofSeconds(4),
                     Duration.ofSeconds(1), List.of(), Trouble.GAP, List.of(), List.of(), "");
             Duration[] starts = new Duration[nodes];
@@ -205,10 +205,10 @@
     @ParameterizedTest
     @MethodSource("planted")
     void aFaultIsFoundWhereItsCaseIsWrittenDown(Planted p) {
-        Parts parts = Plants.parts(p.name());
+        FleetComponents parts = Plants.parts(p.name());
         for (long seed = 1; seed <= 12; seed++) {
             if (p.rules(seed, parts).contains(p.rule())) {
-                assertEquals(List.of(), p.rules(seed, new Parts()), "seed " + seed);
+                assertEquals(List.of(), p.rules(seed, new FleetComponents()), "seed " + seed);
                 return;
             }
         }
--- a/src/test/java/rowanplank/lab/trial/BudgetTrialTest.java
+++ b/src/test/java/rowanplank/lab/trial/BudgetTrialTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.judge.Event.Kind;
 
 /** Fleets with budgets in virtual time: what is right is judged right, and planted faults are found. */
 @Timeout(value = 150, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class BudgetTrialTest {
-    private static TrialResult play(int nodes, long seed, Parts parts) {
+    private static TrialResult play(int nodes, long seed, FleetComponents parts) {
         TrialPlan plan = new TrialPlan(TrialKind.BUDGETS, nodes, seed, Duration.ofSeconds(20), Duration.ofSeconds(4),
                 Duration.ofSeconds(1), List.of(), Trouble.GAP, List.of(), List.of(), "");
         return new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, parts)).play();
@@ -26,7 +26,7 @@
     void allRulesAreKept(int nodes, long first, int count) {
         long uses = 0; // none where a voter is lost before all have said that they understand budgets
         for (long seed = first; seed < first + count; seed++) {
-            TrialResult r = play(nodes, seed, new Parts());
+            TrialResult r = play(nodes, seed, new FleetComponents());
             assertEquals(List.of(), r.findings(), "seed " + seed + "\n" + r.text());
             uses += r.count(Kind.BEGIN);
         }
@@ -38,7 +38,7 @@
     @CsvSource({"shrunk-at-once, within-whole", "parts-no-wait, within-whole", "counts-wrong, sums", "bucket-full, within-rate",
         "epoch-before, epochs-grow", "lowered-at-once, sums", "parts-never-lapse, fair-again"})
     void aPlantedFaultIsFound(String plant, String rule) {
-        Parts parts = Plants.parts(plant);
+        FleetComponents parts = Plants.parts(plant);
         for (long seed = 1; seed <= 60; seed++) {
             if (play(3, seed, parts).findings().stream().anyMatch(f -> f.rule().equals(rule))) {
                 return;
--- a/src/test/java/rowanplank/lab/trial/HardCasesTest.java
+++ b/src/test/java/rowanplank/lab/trial/HardCasesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.TrialFault.What;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
@@ -195,7 +195,7 @@
     void whatWasDrawnIsPlayedAgain(int nodes, long seed, List<Trouble.Kind> kinds) {
         TrialPlan plan = new TrialPlan(TrialKind.LEASES, nodes, seed, Duration.ofSeconds(20), Duration.ofSeconds(4), Duration.ofSeconds(1),
                 kinds, Duration.ofMillis(400), List.of(), List.of(), "");
-        VirtualTrial trial = new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, new Parts()));
+        VirtualTrial trial = new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, new FleetComponents()));
         List<String> drawn = happened(trial.play());
         TrialCase written = new TrialCase(TrialKind.LEASES, nodes, seed, plan.length(), plan.lease(), 0.01, "", "", trial.faults());
         TrialCase read = TrialFile.read("f", TrialFile.write(written));
--- a/src/test/java/rowanplank/lab/trial/StandInPartsTest.java
+++ b/src/test/java/rowanplank/lab/trial/StandInPartsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.ledger.LeaseHolder;
 
 /** What a stand-in does for its trial. */
@@ -22,7 +22,7 @@
     Path folder;
 
     private Duration take(boolean may) {
-        Parts parts = new Parts() {
+        FleetComponents parts = new FleetComponents() {
             @Override
             public boolean mayBegin(LeaseHolder holder, Instant now, String lease, Duration longest) {
                 return may;
--- a/src/test/java/rowanplank/lab/trial/VirtualTrialTest.java
+++ b/src/test/java/rowanplank/lab/trial/VirtualTrialTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
 
@@ -25,11 +25,11 @@
                 List.of(faults), gap, List.of(), List.of(), "");
     }
 
-    private static TrialResult play(int nodes, long seed, Parts parts) {
+    private static TrialResult play(int nodes, long seed, FleetComponents parts) {
         return play(plan(nodes, seed, Trouble.GAP), parts);
     }
 
-    private static TrialResult play(TrialPlan plan, Parts parts) {
+    private static TrialResult play(TrialPlan plan, FleetComponents parts) {
         return new VirtualTrial(VirtualTrial.Setting.of(plan, 0.01, parts)).play();
     }
 
@@ -42,7 +42,7 @@
     @CsvSource({"3, 1, 20", "5, 1, 10", "9, 1, 5"})
     void allRulesAreKept(int nodes, long first, int count) {
         for (long seed = first; seed < first + count; seed++) {
-            TrialResult r = play(nodes, seed, new Parts());
+            TrialResult r = play(nodes, seed, new FleetComponents());
             assertTrue(r.findings().isEmpty(), "seed " + seed + "\n" + r.text());
             assertTrue(r.count(Kind.BEGIN) > 50, "seed " + seed + ": " + r.count(Kind.BEGIN) + " acts");
         }
@@ -53,7 +53,7 @@
     void aLongLeaseIsGivenItsTimeAtTheEnd() {
         for (long seed = 1; seed <= 4; seed++) {
             TrialResult r = play(new TrialPlan(TrialKind.LEASES, 3, seed, Duration.ofSeconds(30), Duration.ofSeconds(4),
-                    Duration.ofSeconds(4), List.of(), Trouble.GAP, List.of(), List.of(), ""), new Parts());
+                    Duration.ofSeconds(4), List.of(), Trouble.GAP, List.of(), List.of(), ""), new FleetComponents());
             assertEquals(List.of(), r.findings(), r.text());
         }
     }
@@ -63,7 +63,7 @@
     @EnumSource(value = Trouble.Kind.class, mode = EnumSource.Mode.EXCLUDE, names = "OLDER")
     void eachKindOfFaultAloneIsBorne(Trouble.Kind kind) {
         for (long seed = 1; seed <= 2; seed++) {
-            TrialResult r = play(plan(5, seed, Duration.ofMillis(300), kind), new Parts());
+            TrialResult r = play(plan(5, seed, Duration.ofMillis(300), kind), new FleetComponents());
             assertTrue(r.findings().isEmpty(), "seed " + seed + "\n" + r.text());
             assertTrue(acts(r, TrialPlan.DAILY) > 3, "seed " + seed + ": " + acts(r, TrialPlan.DAILY) + " daily acts");
         }
@@ -76,7 +76,7 @@
         List<FleetConfig.Lease> more = IntStream.range(0, leases)
                 .mapToObj(i -> new FleetConfig.Lease("lease-" + i, Duration.ofSeconds(2))).toList();
         TrialResult r = new VirtualTrial(new VirtualTrial.Setting(plan(nodes, 1, Trouble.GAP, Trouble.Kind.NOTHING), 0.01,
-                n -> new Parts(), more)).play();
+                n -> new FleetComponents(), more)).play();
         assertEquals(List.of(), r.findings(), r.text());
         long applied = r.history().stream().filter(e -> e.kind() == Kind.STATUS).mapToLong(Event::other).max().orElse(0);
         assertTrue(applied > leases + nodes, applied + " entries: each lease is granted by one");
@@ -104,10 +104,10 @@
         assertTrue(starts[1] > 1 && !r.findings().isEmpty(), r.text());
     }
 
-    private static Parts knows(int version) {
-        return new Parts() {
+    private static FleetComponents knows(int version) {
+        return new FleetComponents() {
             @Override
-            public int knows() {
+            public int understoodVersion() {
                 return version;
             }
         };
@@ -115,8 +115,8 @@
 
     @Test
     void oneSeedIsOneHistory() {
-        List<String> once = play(5, 11, new Parts()).history().stream().map(Event::line).toList();
-        assertEquals(once, play(5, 11, new Parts()).history().stream().map(Event::line).toList());
+        List<String> once = play(5, 11, new FleetComponents()).history().stream().map(Event::line).toList();
+        assertEquals(once, play(5, 11, new FleetComponents()).history().stream().map(Event::line).toList());
     }
 
     /** Guards the judge: a checker that finds nothing proves nothing. */
@@ -127,7 +127,7 @@
         "any-log-will-do, not-lost",
         "claims-forgotten, once-a-period", "never-refutes, knows-who-lives", "stale-read, no-stale-read", "told-before-synced, no-stale-read|alive|one-log|one-leader"})
     void eachPlantedFaultIsFound(String plant, String rule) {
-        Parts parts = Plants.parts(plant);
+        FleetComponents parts = Plants.parts(plant);
         assertTrue(LongStream.rangeClosed(1, 400).anyMatch(seed -> play(seed % 2 == 0 ? 5 : 3, seed, parts).findings()
                 .stream().anyMatch(f -> f.rule().matches(rule))), plant + " was not found");
     }
--- a/src/test/java/rowanplank/lab/trial/WholeNodesTest.java
+++ b/src/test/java/rowanplank/lab/trial/WholeNodesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 
 /** Whole nodes in virtual time whose files do not fit each other: names, fleets, and what is told anew. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
@@ -37,7 +37,7 @@
     }
 
     private static byte[] state(String fleet, String name) {
-        return DiskForm.create(fleet, name, List.of("n1", "n2", "n3")).bytes();
+        return VoterFileCodec.create(fleet, name, List.of("n1", "n2", "n3")).bytes();
     }
 
     private List<VirtualFleet.Node> press(String... leases) {
--- a/src/test/java/rowanplank/lab/trial/WorkTrialTest.java
+++ b/src/test/java/rowanplank/lab/trial/WorkTrialTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
-import rowanplank.fleet.Parts;
+import rowanplank.fleet.FleetComponents;
 import rowanplank.lab.trial.TrialFault.What;
 import rowanplank.lab.trial.judge.Event;
 import rowanplank.lab.trial.judge.Event.Kind;
@@ -23,7 +23,7 @@
 /** Machines taken out for work in virtual time: what is right is judged right, and planted faults are found. */
 @Timeout(value = 100, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WorkTrialTest {
-    private static TrialResult play(int nodes, long seed, Parts parts) {
+    private static TrialResult play(int nodes, long seed, FleetComponents parts) {
         return new VirtualTrial(VirtualTrial.Setting.of(new TrialPlan(TrialKind.WORK, nodes, seed, Duration.ofSeconds(20),
                 Duration.ofSeconds(4), Duration.ofSeconds(1), List.of(), Trouble.GAP, List.of(), List.of(), ""), 0.01, parts)).play();
     }
@@ -33,7 +33,7 @@
     @CsvSource({"3, 1, 6", "3, 196, 1", "5, 1, 4", "9, 1, 2"})
     void allRulesAreKept(int nodes, long first, int count) {
         for (long seed = first; seed < first + count; seed++) {
-            TrialResult r = play(nodes, seed, new Parts());
+            TrialResult r = play(nodes, seed, new FleetComponents());
             assertTrue(r.findings().isEmpty(), "seed " + seed + "\n" + r.text());
             assertTrue(r.count(Kind.STAFF) > 20, "seed " + seed + ": " + r.count(Kind.STAFF) + " words");
         }
@@ -41,8 +41,8 @@
 
     @Test
     void oneSeedIsOneHistory() {
-        List<String> once = play(3, 11, new Parts()).history().stream().map(Event::line).toList();
-        assertEquals(once, play(3, 11, new Parts()).history().stream().map(Event::line).toList());
+        List<String> once = play(3, 11, new FleetComponents()).history().stream().map(Event::line).toList();
+        assertEquals(once, play(3, 11, new FleetComponents()).history().stream().map(Event::line).toList());
     }
 
     /** Guards the judge: a checker that finds nothing proves nothing. */
--- a/src/test/java/rowanplank/measure/HollowFleet.java
+++ b/src/test/java/rowanplank/measure/HollowFleet.java
@@ -14,9 +14,9 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import rowanplank.config.FleetConfig;
-import rowanplank.fleet.Fleet;
-import rowanplank.fleet.Parts;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.FleetComponents;
+import rowanplank.fleet.FleetNode;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.lab.net.VirtualDisk;
 import rowanplank.lab.world.World;
 import rowanplank.metrics.RateLimitedLog;
@@ -55,7 +55,7 @@
 
     private static final class Node {
         HollowLoop loop;
-        Fleet fleet;
+        FleetNode fleet;
         VirtualDisk disk;
         long received;
         long receivedBytes;
@@ -77,7 +77,7 @@
     HollowFleet(Plan plan) {
         this.plan = plan;
         for (int n = 0; n < plan.nodes; n++) {
-            start(n, n < plan.voters ? DiskForm.create(FLEET, name(n), voterNames()).bytes() : null);
+            start(n, n < plan.voters ? VoterFileCodec.create(FLEET, name(n), voterNames()).bytes() : null);
         }
     }
 
@@ -124,9 +124,9 @@
                 public void kill() { }
             };
         };
-        node.fleet = new Fleet(config(n), ++incarnations, new Parts(), new Fleet.Machine(node.loop, node.disk,
+        node.fleet = new FleetNode(config(n), ++incarnations, new FleetComponents(), new FleetNode.Platform(node.loop, node.disk,
                 (directory, file, content, outdated, done) -> { }, programs, log));
-        node.fleet.serves(Fleet.Clients.servedBy(() -> true));
+        node.fleet.setClients(FleetNode.Clients.servedBy(() -> true));
         node.loop.execute(() -> {
             try {
                 node.fleet.start();
@@ -282,7 +282,7 @@
         long[] told = new long[] {-1, 0, 0};
         long before = nodes.values().stream().mapToLong(o -> o.received).sum();
         long from = world.nanos();
-        node(n).loop.execute(() -> node(n).fleet.work(o -> {
+        node(n).loop.execute(() -> node(n).fleet.requestWorkStatus(o -> {
             told[0] = (world.nanos() - from) / 1_000_000;
             told[1] = o == null ? 0 : o.toString().length();
         }));
--- a/src/test/java/rowanplank/measure/LedgerCapacity.java
+++ b/src/test/java/rowanplank/measure/LedgerCapacity.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import rowanplank.fleet.wire.LedgerForm;
-import rowanplank.fleet.wire.Unpacker.MalformedException;
+import rowanplank.fleet.wire.BinaryReader.MalformedException;
+import rowanplank.fleet.wire.LedgerCodec;
 import rowanplank.ledger.Command;
 import rowanplank.ledger.Ledger;
 import rowanplank.ledger.Result;
@@ -43,7 +43,7 @@
     private int refused;
 
     private Result apply(Command command) {
-        bytes += LedgerForm.command(command).length;
+        bytes += LedgerCodec.command(command).length;
         Result result = ledger.apply(++index, command);
         refused += result.kind() == Result.Kind.FULL ? 1 : 0;
         return result;
@@ -51,7 +51,7 @@
 
     private static LedgerCapacity filled(Size size) {
         LedgerCapacity c = new LedgerCapacity();
-        c.apply(new Command.Raise(LedgerForm.VERSION));
+        c.apply(new Command.Raise(LedgerCodec.VERSION));
         for (int b = 0; b < size.budgets; b++) {
             c.apply(new Command.Define("budget-" + b, false, new Share(2L * size.holders, 0), Share.NONE, 0));
         }
@@ -105,10 +105,10 @@
         byte[] snapshot = new byte[0];
         for (int r = -ROUNDS; r < ROUNDS; r++) { // the first half is not counted
             Spent start = Spent.now();
-            snapshot = LedgerForm.picture(c.ledger.picture());
+            snapshot = LedgerCodec.snapshot(c.ledger.picture());
             Spent there = Spent.now();
             try {
-                new Ledger(LedgerForm.picture(snapshot));
+                new Ledger(LedgerCodec.snapshot(snapshot));
             } catch (MalformedException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/rowanplank/measure/RollingRestart.java
+++ b/src/test/java/rowanplank/measure/RollingRestart.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.stream.Stream;
 import rowanplank.config.Addresses;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.lab.day.DayDraw;
 import rowanplank.lab.day.DayEdit;
 import rowanplank.lab.live.LiveSiteRun;
@@ -123,7 +123,7 @@
                     + (byHand ? "" : "[fleet]\nname = \"rolling\"\nlisten = \"" + Addresses.format(places.get(n)) + "\"\n" + voters
                     + "[fleet.work]\nsettle = \"" + SETTLE_MS + "ms\"\n"));
             if (!byHand && n < names.size()) {
-                new DirectoryFiles().create(state.toString(), DiskForm.create("rolling", "n" + (n + 1), names).bytes());
+                new DirectoryFiles().create(state.toString(), VoterFileCodec.create("rolling", "n" + (n + 1), names).bytes());
             }
             start(n);
         }
--- a/src/test/java/rowanplank/node/FleetPartTest.java
+++ b/src/test/java/rowanplank/node/FleetPartTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import rowanplank.fleet.wire.DiskForm;
+import rowanplank.fleet.wire.VoterFileCodec;
 import rowanplank.net.DirectoryFiles;
 
 /** Real processes: what a node with a part in a fleet has of the machine, and one without has not. */
@@ -88,7 +88,7 @@
     /** Guards a voter's word: a second process on its state, started by mistake, ends with one line, and the first goes on. */
     @Test
     void aStateThatIsInUseIsRefused() throws Exception {
-        new DirectoryFiles().create(folder.resolve("state").toString(), DiskForm.create("press", "n1", List.of("n1")).bytes());
+        new DirectoryFiles().create(folder.resolve("state").toString(), VoterFileCodec.create("press", "n1", List.of("n1")).bytes());
         try (RunningNode node = start("n1.toml", NODE + fleet())) {
             node.await(RunningNode.LISTENS);
             assertEquals(1, sockets(node.process, "udp", ""));
