--- a/src/main/java/rowanplank/agreement/DurabilityBarrier.java
+++ b/src/main/java/rowanplank/agreement/DurabilityBarrier.java
@@ -15,13 +15,13 @@
 final class DurabilityBarrier<T> {
     private record Held<T>(long number, T message) { }
 
-    private final int mostHeld;
+    private final int maxHeld;
     private final Deque<Held<T>> held = new ArrayDeque<>();
     private long begun;
     private long done;
 
     DurabilityBarrier(int mostHeld) {
-        this.mostHeld = mostHeld;
+        this.maxHeld = mostHeld;
     }
 
     /** A write begins. @return its number; numbers rise by one */
@@ -41,7 +41,7 @@
 
     /** Holds a message until all writes begun so far are done. */
     void hold(T message) {
-        if (held.size() == mostHeld) {
+        if (held.size() == maxHeld) {
             held.poll();
         }
         held.add(new Held<>(begun, message));
--- a/src/main/java/rowanplank/agreement/Entry.java
+++ b/src/main/java/rowanplank/agreement/Entry.java
@@ -11,17 +11,17 @@
  * @param payload what the state machine is told; empty for the entry that opens a term; not to be changed
  */
 public record Entry(long index, long term, VoterConfig membership, byte[] payload) {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
     /** What an entry takes beside its payload, about, where messages and logs are filled up to a bound. */
     static final int OVERHEAD = 24;
-    private static final int BYTES_A_NAME = 32;
+    private static final int BYTES_PER_NAME = 32;
 
     public static Entry command(long index, long term, byte[] payload) {
         return new Entry(index, term, null, payload);
     }
 
     public static Entry noOp(long index, long term) {
-        return new Entry(index, term, null, NOTHING);
+        return new Entry(index, term, null, EMPTY);
     }
 
     public static Entry voterChange(long index, long term, List<String> voters) {
@@ -29,10 +29,10 @@
     }
 
     public static Entry configChange(long index, long term, VoterConfig membership) {
-        return new Entry(index, term, membership, NOTHING);
+        return new Entry(index, term, membership, EMPTY);
     }
 
     int bytes() {
-        return OVERHEAD + payload.length + (membership == null ? 0 : BYTES_A_NAME * membership.allVoters().size());
+        return OVERHEAD + payload.length + (membership == null ? 0 : BYTES_PER_NAME * membership.allVoters().size());
     }
 }
--- a/src/main/java/rowanplank/agreement/EntryLog.java
+++ b/src/main/java/rowanplank/agreement/EntryLog.java
@@ -10,12 +10,12 @@
  * The log in memory: a snapshot, the entries behind it, and a few of those that the snapshot took the place of, so that a
  * voter that is a moment late need not be sent the whole snapshot. Asking for an entry costs O(1).
  *
- * <p>Bound: {@value #MOST_TRAILING} entries before the snapshot, and so many of their bytes as its owner allows.
+ * <p>Bound: {@value #MAX_TRAILING_ENTRIES} entries before the snapshot, and so many of their bytes as its owner allows.
  */
 final class EntryLog {
-    private static final int MOST_TRAILING = 256;
+    private static final int MAX_TRAILING_ENTRIES = 256;
 
-    private final int mostTrailingBytes;
+    private final int maxTrailingBytes;
     private Snapshot snapshot;
     private final List<Entry> entries;
     /** Entries up to the snapshot's, without gaps. */
@@ -28,7 +28,7 @@
     EntryLog(Snapshot snapshot, List<Entry> entries, int mostTrailingBytes) {
         this.snapshot = snapshot;
         this.entries = new ArrayList<>(entries);
-        this.mostTrailingBytes = mostTrailingBytes;
+        this.maxTrailingBytes = mostTrailingBytes;
         termBefore = snapshot.term();
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** The first entry that can still be sent. */
-    long firstKept() {
+    long firstRetained() {
         return first() - trailing.size();
     }
 
@@ -73,7 +73,7 @@
     }
 
     private long trailingTerm(long index) {
-        if (index == firstKept() - 1) {
+        if (index == firstRetained() - 1) {
             return termBefore;
         }
         for (Entry entry : trailing) {
@@ -92,7 +92,7 @@
     }
 
     /** Drops this entry and all behind it. */
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         entries.subList((int) (index - first()), entries.size()).clear();
     }
 
@@ -105,32 +105,32 @@
             Entry entry = old.next();
             if (entry.index() >= index) {
                 bytes += entry.bytes();
-                addWhereItFits(found, entry, bytes, mostBytes);
+                addIfFits(found, entry, bytes, mostBytes);
             }
         }
         for (long i = Math.max(index, first()); i <= last() && bytes <= mostBytes; i++) {
             bytes += get(i).bytes();
-            addWhereItFits(found, get(i), bytes, mostBytes);
+            addIfFits(found, get(i), bytes, mostBytes);
         }
         return found;
     }
 
-    private static void addWhereItFits(List<Entry> found, Entry entry, int bytes, int mostBytes) {
+    private static void addIfFits(List<Entry> found, Entry entry, int bytes, int mostBytes) {
         if (bytes <= mostBytes || found.isEmpty()) {
             found.add(entry);
         }
     }
 
     /** All entries behind the snapshot. */
-    List<Entry> all() {
+    List<Entry> entriesAfterSnapshot() {
         return List.copyOf(entries);
     }
 
     /** The snapshot takes the place of the entries up to it; those behind it stay where they follow from it. */
-    void replace(Snapshot newer) {
+    void replaceSnapshot(Snapshot newer) {
         if (newer.index() >= snapshot.index() && term(newer.index()) == newer.term()) {
             List<Entry> replaced = entries.subList(0, (int) (newer.index() - snapshot.index()));
-            replaced.forEach(this::keepTrailing);
+            replaced.forEach(this::retainTrailing);
             replaced.clear();
         } else {
             entries.clear();
@@ -141,10 +141,10 @@
         snapshot = newer;
     }
 
-    private void keepTrailing(Entry entry) {
+    private void retainTrailing(Entry entry) {
         trailing.add(entry);
         trailingBytes += entry.bytes();
-        while (trailingBytes > mostTrailingBytes || trailing.size() > MOST_TRAILING) {
+        while (trailingBytes > maxTrailingBytes || trailing.size() > MAX_TRAILING_ENTRIES) {
             Entry oldest = trailing.poll();
             trailingBytes -= oldest.bytes();
             termBefore = oldest.term();
@@ -152,12 +152,12 @@
     }
 
     /** Who votes by the last entry that says so, decided or not. */
-    VoterConfig membership() {
-        return membershipAfter(last());
+    VoterConfig voterConfig() {
+        return voterConfigAfter(last());
     }
 
     /** Who votes after this entry, which is not older than the snapshot. */
-    VoterConfig membershipAfter(long index) {
+    VoterConfig voterConfigAfter(long index) {
         for (long i = index; i >= first(); i--) {
             if (get(i).membership() != null) {
                 return get(i).membership();
@@ -167,7 +167,7 @@
     }
 
     /** The last entry that changes the voters; 0 if there is none behind the snapshot. */
-    long lastChange() {
+    long lastVoterChange() {
         for (long i = last(); i >= first(); i--) {
             if (get(i).membership() != null) {
                 return i;
--- a/src/main/java/rowanplank/agreement/RaftNode.java
+++ b/src/main/java/rowanplank/agreement/RaftNode.java
@@ -24,23 +24,23 @@
  * how soon something happens.
  *
  * <p>Bounds: {@link Settings#maxUncommitted} entries that are not decided; the log behind the snapshot is as long as the
- * owner lets it grow before {@link #compact}; {@value #MOST_HELD} messages that wait for the disk, of more the oldest
+ * owner lets it grow before {@link #compact}; {@value #MAX_HELD_MESSAGES} messages that wait for the disk, of more the oldest
  * are dropped as if lost; a snapshot of {@value #MAX_SNAPSHOT_BYTES} bytes. A call costs O(voters) and the entries that
  * it moves.
  */
 public class RaftNode {
     public static final int MAX_SNAPSHOT_BYTES = 8 << 20;
-    private static final int MOST_HELD = 1000;
+    private static final int MAX_HELD_MESSAGES = 1000;
     /** So many messages with entries may be on their way to a voter that has not answered. */
-    private static final int WINDOW = 8;
+    private static final int MAX_APPENDS_IN_FLIGHT = 8;
     /** Rounds that are wanted in quick succession become one. */
-    private static final Duration GATHER = Duration.ofMillis(3);
+    private static final Duration ROUND_BATCH_DELAY = Duration.ofMillis(3);
     /** Who reaches a majority before it has heard of any leader asks for votes within this time. */
-    private static final Duration FIRST_TURN = Duration.ofMillis(40);
+    private static final Duration FIRST_ELECTION_JITTER = Duration.ofMillis(40);
     /** For so long a voter then leaves the election to another one that has asked first. */
-    private static final Duration GIVE_WAY = Duration.ofMillis(250);
+    private static final Duration YIELD_DURATION = Duration.ofMillis(250);
     /** So often; then it asks whatever the others do, so that nobody waits for ever for one that can't win. */
-    private static final int MOST_WAYS_GIVEN = 3;
+    private static final int MAX_YIELDS = 3;
 
     /** What a voter is doing. */
     public enum Role { FOLLOWER, ASKING, CANDIDATE, LEADER }
@@ -78,14 +78,14 @@
          */
         CONNECTIONS(Duration.ofSeconds(5), 1 << 20, true);
 
-        private final Duration patience;
+        private final Duration resendDelay;
         /** Of the entries kept before the snapshot, for voters that are a moment late. */
         private final int trailingBytes;
         /** Whether entries are sent only once it is known where they belong. */
         private final boolean probesFirst;
 
         Transport(Duration patience, int trailingBytes, boolean probesFirst) {
-            this.patience = patience;
+            this.resendDelay = patience;
             this.trailingBytes = trailingBytes;
             this.probesFirst = probesFirst;
         }
@@ -116,49 +116,49 @@
 
     private record OutboundMessage(String to, Message message) { }
 
-    private record PendingAppend(long number, long last) { }
+    private record PendingAppend(long number, long lastIndex) { }
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
     private final EntryLog log;
-    private VoterConfig membership;
+    private VoterConfig voterConfig;
     private long term;
-    private String vote;
-    private long commit;
-    private long applied;
+    private String votedFor;
+    private long lastCommitted;
+    private long lastApplied;
 
     private Role role = Role.FOLLOWER;
     private String leader;
-    private Instant leaderHeard;
+    private Instant leaderLastHeard;
     private Instant electionDue;
     /** Whether a leader has been heard, or this voter has led, since its start. */
     private boolean hasHeardLeader;
     /** Whether the owner tells who can be reached. */
-    private boolean isToldOfReach;
-    private int waysGiven;
-    private final TreeSet<String> granted = new TreeSet<>();
+    private boolean isReachabilityKnown;
+    private int yieldCount;
+    private final TreeSet<String> votesGranted = new TreeSet<>();
 
     /** As a leader. */
     private final Map<String, PeerProgress> peers = new TreeMap<>();
     /** Who gets the log without a vote. */
     private final TreeSet<String> learners = new TreeSet<>();
-    private long opening;
+    private long noOpIndex;
     private boolean established;
     private Instant heartbeatDue;
-    private Instant roundBegan;
-    private boolean roundWanted;
+    private Instant roundStartedAt;
+    private boolean isRoundRequested;
     private long round;
     private long confirmedRound;
-    private Instant handingOverUntil;
-    private boolean handedOver;
+    private Instant transferDeadline;
+    private boolean isTransferSent;
 
-    private final DurabilityBarrier<OutboundMessage> disk = new DurabilityBarrier<>(MOST_HELD);
-    private long ownVote;
-    private long durable;
-    private final Deque<PendingAppend> unstored = new ArrayDeque<>();
+    private final DurabilityBarrier<OutboundMessage> diskBarrier = new DurabilityBarrier<>(MAX_HELD_MESSAGES);
+    private long ownVoteWrite;
+    private long durableIndex;
+    private final Deque<PendingAppend> pendingAppends = new ArrayDeque<>();
 
-    private final SnapshotAssembler incoming = new SnapshotAssembler();
+    private final SnapshotAssembler incomingSnapshot = new SnapshotAssembler();
 
     /** @param saved what is on disk: the owner's state machine is to be as its snapshot has it */
     public RaftNode(Settings settings, PersistentState saved, Instant now, Actions actions) {
@@ -167,11 +167,11 @@
         random = new SplittableRandom(settings.seed());
         log = new EntryLog(saved.snapshot(), saved.entries(), settings.transport().trailingBytes);
         term = saved.term();
-        vote = saved.vote();
-        commit = saved.snapshot().index();
-        applied = commit;
-        durable = log.last();
-        membership = log.membership();
+        votedFor = saved.vote();
+        lastCommitted = saved.snapshot().index();
+        lastApplied = lastCommitted;
+        durableIndex = log.last();
+        voterConfig = log.voterConfig();
         awaitElection(now, settings.firstElectionTimeout());
     }
 
@@ -191,21 +191,21 @@
     }
 
     public List<String> voters() {
-        return membership.voters();
+        return voterConfig.voters();
     }
 
     /** Who votes, with those that are on their way out. */
     public VoterConfig voterConfig() {
-        return membership;
+        return voterConfig;
     }
 
     /** Whether the last change of the voters is decided; until then no other one is taken. */
     public boolean isVoterChangeCommitted() {
-        return log.lastChange() <= commit;
+        return log.lastVoterChange() <= lastCommitted;
     }
 
     public long commitIndex() {
-        return commit;
+        return lastCommitted;
     }
 
     public long lastIndex() {
@@ -219,7 +219,7 @@
 
     /** How many entries up to {@link #commitIndex} stand behind the snapshot. */
     public long committedSinceSnapshot() {
-        return commit - log.snapshot().index();
+        return lastCommitted - log.snapshot().index();
     }
 
     /** Whether it leads and has all that was decided before: only then may it answer for the state machine. */
@@ -230,7 +230,7 @@
     /** Of a leader: up to where a voter's log is known to be alike. */
     public Map<String, Long> matchIndexes() {
         Map<String, Long> found = new TreeMap<>();
-        peers.values().forEach(p -> found.put(p.name, p.match));
+        peers.values().forEach(p -> found.put(p.name, p.matchIndex));
         return found;
     }
 
@@ -242,10 +242,10 @@
     /** When {@link #onTime} is to be called next; null where nothing is due. */
     public Instant due() {
         if (role != Role.LEADER) {
-            return mayStand() ? electionDue : null;
+            return mayStartElection() ? electionDue : null;
         }
-        Instant gathered = roundBegan.plus(GATHER);
-        return roundWanted && gathered.isBefore(heartbeatDue) ? gathered : heartbeatDue;
+        Instant gathered = roundStartedAt.plus(ROUND_BATCH_DELAY);
+        return isRoundRequested && gathered.isBefore(heartbeatDue) ? gathered : heartbeatDue;
     }
 
     /**
@@ -253,25 +253,25 @@
      * change, and the others then choose nobody who does not (section 4.2.2 of Ongaro's thesis). Its own vote counts
      * where it has one.
      */
-    private boolean mayStand() {
-        long change = log.lastChange();
-        return isVoter() || change > commit && change > log.first() - 1
-                && log.membershipAfter(change - 1).includes(settings.self());
+    private boolean mayStartElection() {
+        long change = log.lastVoterChange();
+        return isVoter() || change > lastCommitted && change > log.first() - 1
+                && log.voterConfigAfter(change - 1).includes(settings.self());
     }
 
     private boolean isVoter() {
-        return membership.includes(settings.self());
+        return voterConfig.includes(settings.self());
     }
 
     private Collection<String> others() {
-        List<String> others = membership.allVoters();
+        List<String> others = voterConfig.allVoters();
         others.remove(settings.self());
         return others;
     }
 
     /** Who decides now. */
     protected VoterConfig decidingConfig() {
-        return membership;
+        return voterConfig;
     }
 
     /** How many of so many voters decide. */
@@ -284,12 +284,12 @@
     public void onTime(Instant now) {
         if (role == Role.LEADER) {
             if (!now.isBefore(heartbeatDue)) {
-                beat(now);
-            } else if (roundWanted && !now.isBefore(roundBegan.plus(GATHER))) {
+                onHeartbeatDue(now);
+            } else if (isRoundRequested && !now.isBefore(roundStartedAt.plus(ROUND_BATCH_DELAY))) {
                 beginRound(now);
             }
-        } else if (mayStand() && !now.isBefore(electionDue)) {
-            ask(now);
+        } else if (mayStartElection() && !now.isBefore(electionDue)) {
+            startPreVote(now);
         }
     }
 
@@ -307,12 +307,12 @@
      * for votes at once, in place of waiting for an election's time that is meant for leaders that fall silent.
      */
     public void setReachable(Instant now, Collection<String> names) {
-        isToldOfReach = true;
+        isReachabilityKnown = true;
         boolean mayAsk = role == Role.FOLLOWER || role == Role.ASKING;
-        if (hasHeardLeader || !mayAsk || waysGiven > 0 || !mayStand() || !reachesMajority(names)) {
+        if (hasHeardLeader || !mayAsk || yieldCount > 0 || !mayStartElection() || !reachesMajority(names)) {
             return;
         }
-        Instant turn = now.plusNanos(random.nextLong(FIRST_TURN.toNanos()));
+        Instant turn = now.plusNanos(random.nextLong(FIRST_ELECTION_JITTER.toNanos()));
         if (turn.isBefore(electionDue)) {
             electionDue = turn;
         }
@@ -324,85 +324,85 @@
     }
 
     /** What a voter waits for that has not heard of a leader yet is a shorter time. */
-    private Duration patience() {
-        return isToldOfReach && !hasHeardLeader ? settings.firstElectionTimeout() : settings.electionTimeout();
+    private Duration nextElectionTimeout() {
+        return isReachabilityKnown && !hasHeardLeader ? settings.firstElectionTimeout() : settings.electionTimeout();
     }
 
-    private void beat(Instant now) {
-        if (decidingConfig().quorumValue(name -> hears(name, now) ? 1 : 0, this::leaderQuorum) < 1) {
-            follow(now, term, null);
+    private void onHeartbeatDue(Instant now) {
+        if (decidingConfig().quorumValue(name -> hasHeardRecently(name, now) ? 1 : 0, this::leaderQuorum) < 1) {
+            becomeFollower(now, term, null);
             return;
         }
-        if (handingOverUntil != null && !now.isBefore(handingOverUntil)) {
-            handingOverUntil = null;
+        if (transferDeadline != null && !now.isBefore(transferDeadline)) {
+            transferDeadline = null;
         }
         for (PeerProgress p : peers.values()) {
-            p.sendAgain(now, settings.transport().patience);
+            p.resendIfStalled(now, settings.transport().resendDelay);
         }
         beginRound(now);
     }
 
-    private boolean hears(String name, Instant now) {
+    private boolean hasHeardRecently(String name, Instant now) {
         if (name.equals(settings.self())) {
             return true;
         }
         PeerProgress p = peers.get(name);
-        return p != null && !p.regressed && p.heard.plus(settings.electionTimeout()).isAfter(now);
+        return p != null && !p.regressed && p.lastHeard.plus(settings.electionTimeout()).isAfter(now);
     }
 
     private void beginRound(Instant now) {
         round++;
-        roundBegan = now;
-        roundWanted = false;
+        roundStartedAt = now;
+        isRoundRequested = false;
         heartbeatDue = now.plus(settings.heartbeatInterval());
         for (PeerProgress p : peers.values()) {
             sendTo(now, p);
         }
-        countRounds();
+        advanceConfirmedRound();
     }
 
     // ---- elections
 
     /** Would I get the votes? Guards against a voter that was cut off and comes back with a high term. */
-    private void ask(Instant now) {
-        awaitElection(now, leaderHeard == null ? settings.firstElectionTimeout() : settings.electionTimeout());
+    private void startPreVote(Instant now) {
+        awaitElection(now, leaderLastHeard == null ? settings.firstElectionTimeout() : settings.electionTimeout());
         role = Role.ASKING;
         leader = null;
-        granted.clear();
-        granted.add(settings.self());
+        votesGranted.clear();
+        votesGranted.add(settings.self());
         for (String other : others()) {
             send(other, new Message.VoteRequest(term + 1, true, false, log.last(), log.lastTerm()));
         }
         countVotes(now);
     }
 
-    private void stand(Instant now, boolean handover) {
-        awaitElection(now, patience());
+    private void startElection(Instant now, boolean handover) {
+        awaitElection(now, nextElectionTimeout());
         role = Role.CANDIDATE;
         leader = null;
-        granted.clear();
+        votesGranted.clear();
         term++;
-        vote = settings.self();
-        ownVote = store(new Write.Vote(term, vote)); // its own vote counts once it is on disk
+        votedFor = settings.self();
+        ownVoteWrite = store(new Write.Vote(term, votedFor)); // its own vote counts once it is on disk
         for (String other : others()) {
             send(other, new Message.VoteRequest(term, false, handover, log.last(), log.lastTerm()));
         }
     }
 
     private void countVotes(Instant now) {
-        if (decidingConfig().quorumValue(name -> granted.contains(name) ? 1 : 0, this::majority) < 1) {
+        if (decidingConfig().quorumValue(name -> votesGranted.contains(name) ? 1 : 0, this::majority) < 1) {
             return;
         }
         if (role == Role.ASKING) {
-            stand(now, false);
+            startElection(now, false);
         } else {
-            lead(now);
+            becomeLeader(now);
         }
     }
 
-    private void onVoteAsk(Instant now, String from, Message.VoteRequest m) {
+    private void onVoteRequest(Instant now, String from, Message.VoteRequest m) {
         boolean content = role == Role.LEADER
-                || leader != null && leaderHeard.plus(settings.electionTimeout()).isAfter(now);
+                || leader != null && leaderLastHeard.plus(settings.electionTimeout()).isAfter(now);
         if (m.term() > term && content && !m.handover()) {
             return; // whoever hears its leader helps nobody to unseat it
         }
@@ -410,19 +410,19 @@
             boolean would = m.term() > term && isUpToDate(m);
             send(from, new Message.VoteResponse(would ? m.term() : term, true, would));
             if (would) {
-                giveWay(now, from, m);
+                yieldElection(now, from, m);
             }
             return;
         }
         if (m.term() > term) {
-            follow(now, m.term(), null);
+            becomeFollower(now, m.term(), null);
         }
-        boolean grants = m.term() == term && isUpToDate(m) && (vote == null || vote.equals(from));
+        boolean grants = m.term() == term && isUpToDate(m) && (votedFor == null || votedFor.equals(from));
         if (grants) {
             awaitElection(now);
-            if (vote == null) {
-                vote = from;
-                store(new Write.Vote(term, vote));
+            if (votedFor == null) {
+                votedFor = from;
+                store(new Write.Vote(term, votedFor));
             }
         }
         send(from, new Message.VoteResponse(term, false, grants));
@@ -432,16 +432,16 @@
      * Where nobody has led yet, one is left to win: of two that ask, the one whose log says more, or the first by name.
      * Without it voters that start together would share out the votes among themselves.
      */
-    private void giveWay(Instant now, String from, Message.VoteRequest m) {
+    private void yieldElection(Instant now, String from, Message.VoteRequest m) {
         boolean sameLog = m.lastTerm() == log.lastTerm() && m.lastIndex() == log.last();
         boolean goesBefore = role == Role.FOLLOWER
                 || role == Role.ASKING && (!sameLog || from.compareTo(settings.self()) < 0);
-        if (!isToldOfReach || hasHeardLeader || waysGiven == MOST_WAYS_GIVEN || !goesBefore) {
+        if (!isReachabilityKnown || hasHeardLeader || yieldCount == MAX_YIELDS || !goesBefore) {
             return;
         }
-        waysGiven++;
+        yieldCount++;
         role = Role.FOLLOWER;
-        electionDue = now.plus(GIVE_WAY).plusNanos(random.nextLong(FIRST_TURN.toNanos()));
+        electionDue = now.plus(YIELD_DURATION).plusNanos(random.nextLong(FIRST_ELECTION_JITTER.toNanos()));
     }
 
     /** Whether the one who asks has at least what this voter has: only then can nothing decided be missing there. */
@@ -449,17 +449,17 @@
         return m.lastTerm() > log.lastTerm() || m.lastTerm() == log.lastTerm() && m.lastIndex() >= log.last();
     }
 
-    private void onVoteReply(Instant now, String from, Message.VoteResponse m) {
+    private void onVoteResponse(Instant now, String from, Message.VoteResponse m) {
         if (!m.granted()) {
             return;
         }
         if (m.pre() ? role == Role.ASKING && m.term() == term + 1 : role == Role.CANDIDATE && m.term() == term) {
-            granted.add(from);
+            votesGranted.add(from);
             countVotes(now);
         }
     }
 
-    private void lead(Instant now) {
+    private void becomeLeader(Instant now) {
         role = Role.LEADER;
         hasHeardLeader = true;
         leader = settings.self();
@@ -471,22 +471,22 @@
         round = 0;
         confirmedRound = 0;
         established = false;
-        handingOverUntil = null;
-        opening = log.last() + 1;
-        write(List.of(Entry.noOp(opening, term)));
+        transferDeadline = null;
+        noOpIndex = log.last() + 1;
+        appendToLog(List.of(Entry.noOp(noOpIndex, term)));
         beginRound(now);
     }
 
-    private void follow(Instant now, long newTerm, String newLeader) {
+    private void becomeFollower(Instant now, long newTerm, String newLeader) {
         boolean led = role == Role.LEADER;
         if (newTerm > term) {
             term = newTerm;
-            vote = null;
+            votedFor = null;
             store(new Write.Vote(term, null));
         }
         role = Role.FOLLOWER;
         leader = newLeader;
-        leaderHeard = now;
+        leaderLastHeard = now;
         awaitElection(now);
         if (led) {
             peers.clear();
@@ -499,12 +499,12 @@
 
     public void onMessage(Instant now, String from, Message m) {
         if (m instanceof Message.VoteRequest ask) {
-            onVoteAsk(now, from, ask);
+            onVoteRequest(now, from, ask);
             return;
         }
         boolean future = m instanceof Message.VoteResponse r && r.pre() && r.granted();
         if (m.term() > term && !future) {
-            follow(now, m.term(), null);
+            becomeFollower(now, m.term(), null);
         }
         if (m.term() < term) {
             if (m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk) {
@@ -513,30 +513,30 @@
             return;
         }
         if (m instanceof Message.VoteResponse reply) {
-            onVoteReply(now, from, reply);
+            onVoteResponse(now, from, reply);
         } else if (m instanceof Message.AppendRequest append) {
-            hear(now, from);
+            recordLeaderContact(now, from);
             onAppend(from, append);
         } else if (m instanceof Message.SnapshotChunk piece) {
-            hear(now, from);
-            onPiece(from, piece);
+            recordLeaderContact(now, from);
+            onSnapshotChunk(from, piece);
         } else if (m instanceof Message.AppendResponse reply) {
-            onAppendReply(now, from, reply);
+            onAppendResponse(now, from, reply);
         } else if (m instanceof Message.SnapshotChunkResponse reply) {
-            onPieceReply(now, from, reply);
+            onSnapshotChunkResponse(now, from, reply);
         } else if (m instanceof Message.TimeoutNow && isVoter() && role == Role.FOLLOWER) {
-            stand(now, true);
+            startElection(now, true);
         }
     }
 
-    private void hear(Instant now, String from) {
+    private void recordLeaderContact(Instant now, String from) {
         if (role == Role.LEADER) {
             throw new IllegalStateException("two leaders of term " + term + ": " + settings.self() + " and " + from);
         }
         role = Role.FOLLOWER;
         hasHeardLeader = true;
         leader = from;
-        leaderHeard = now;
+        leaderLastHeard = now;
         awaitElection(now);
     }
 
@@ -546,7 +546,7 @@
         long end = m.previous() + m.entries().size();
         long previous = Math.max(m.previous(), log.snapshot().index());
         if (!isLogConsistent(m, previous)) {
-            send(from, new Message.AppendResponse(term, m.round(), false, mayBeAlike(previous)));
+            send(from, new Message.AppendResponse(term, m.round(), false, conflictHint(previous)));
             return;
         }
         List<Entry> fresh = new ArrayList<>();
@@ -554,11 +554,11 @@
             if (!fresh.isEmpty()) {
                 fresh.add(e);
             } else if (e.index() > previous && log.term(e.index()) != e.term()) {
-                cutFrom(e.index());
+                truncateFrom(e.index());
                 fresh.add(e);
             }
         }
-        write(fresh);
+        appendToLog(fresh);
         long match = Math.max(end, previous);
         commitTo(Math.min(m.commit(), match));
         send(from, new Message.AppendResponse(term, m.round(), true, match));
@@ -570,47 +570,47 @@
     }
 
     /** Before this entry, or before all of its term, so that a leader passes over a whole term at once. */
-    private long mayBeAlike(long previous) {
+    private long conflictHint(long previous) {
         if (previous > log.last()) {
             return log.last();
         }
         long other = log.term(previous);
         long i = previous - 1;
-        while (i > commit && log.term(i) == other) {
+        while (i > lastCommitted && log.term(i) == other) {
             i--;
         }
-        return Math.max(i, commit);
+        return Math.max(i, lastCommitted);
     }
 
-    private void cutFrom(long index) {
+    private void truncateFrom(long index) {
         if (index > log.last()) {
             return;
         }
-        if (index <= commit) {
+        if (index <= lastCommitted) {
             throw new IllegalStateException("entry " + index + " is decided, and another leader has another one");
         }
-        log.cutFrom(index);
-        membership = log.membership();
-        durable = Math.min(durable, index - 1);
-        unstored.clear();
+        log.truncateFrom(index);
+        voterConfig = log.voterConfig();
+        durableIndex = Math.min(durableIndex, index - 1);
+        pendingAppends.clear();
     }
 
-    private void write(List<Entry> entries) {
+    private void appendToLog(List<Entry> entries) {
         if (entries.isEmpty()) {
             return;
         }
         entries.forEach(log::append);
-        membership = log.membership();
-        unstored.add(new PendingAppend(store(new Write.Entries(entries)), log.last()));
+        voterConfig = log.voterConfig();
+        pendingAppends.add(new PendingAppend(store(new Write.Entries(entries)), log.last()));
     }
 
     private void commitTo(long index) {
-        commit = Math.max(commit, index);
-        while (applied < commit) {
-            applied++;
-            actions.committed(log.get(applied));
+        lastCommitted = Math.max(lastCommitted, index);
+        while (lastApplied < lastCommitted) {
+            lastApplied++;
+            actions.committed(log.get(lastApplied));
         }
-        if (role == Role.LEADER && !established && commit >= opening) {
+        if (role == Role.LEADER && !established && lastCommitted >= noOpIndex) {
             established = true;
             actions.becameLeader(term);
         }
@@ -620,10 +620,10 @@
 
     /** @return the entry's index; 0 where this voter doesn't lead, or too much is undecided */
     public long propose(Instant now, byte[] payload) {
-        if (!isEstablished() || handingOverUntil != null || log.last() - commit >= settings.maxUncommitted()) {
+        if (!isEstablished() || transferDeadline != null || log.last() - lastCommitted >= settings.maxUncommitted()) {
             return 0;
         }
-        return appendOwn(Entry.command(log.last() + 1, term, payload));
+        return appendAsLeader(Entry.command(log.last() + 1, term, payload));
     }
 
     /**
@@ -639,13 +639,13 @@
         if (!mayChangeVoters() || changed.isEmpty() || difference.size() + gone.size() != 1) {
             return 0;
         }
-        long index = appendOwn(Entry.voterChange(log.last() + 1, term, changed));
+        long index = appendAsLeader(Entry.voterChange(log.last() + 1, term, changed));
         difference.forEach(name -> peers.putIfAbsent(name, new PeerProgress(name, index + 1, now)));
         return index;
     }
 
     private boolean mayChangeVoters() {
-        return isEstablished() && handingOverUntil == null && log.lastChange() <= commit && !membership.isJoint();
+        return isEstablished() && transferDeadline == null && log.lastVoterChange() <= lastCommitted && !voterConfig.isJoint();
     }
 
     /**
@@ -659,7 +659,7 @@
         learners.clear();
         learners.addAll(names);
         learners.remove(settings.self());
-        peers.keySet().removeIf(name -> !membership.includes(name) && !learners.contains(name));
+        peers.keySet().removeIf(name -> !voterConfig.includes(name) && !learners.contains(name));
         for (String name : learners) {
             peers.computeIfAbsent(name, n -> new PeerProgress(n, log.last() + 1, now));
         }
@@ -668,7 +668,7 @@
     /** Whether a name, with a vote or without, is there and holds on its disk all that is decided; of a leader. */
     public boolean hasAllCommitted(String name) {
         PeerProgress p = peers.get(name);
-        return name.equals(settings.self()) || p != null && p.counts() && p.match >= commit && hears(name, roundBegan);
+        return name.equals(settings.self()) || p != null && p.countsTowardsQuorum() && p.matchIndex >= lastCommitted && hasHeardRecently(name, roundStartedAt);
     }
 
     /**
@@ -683,38 +683,38 @@
         if (!mayChangeVoters() || !allThere || changed.isEmpty() || changed.equals(voters())) {
             return 0;
         }
-        return appendOwn(Entry.configChange(log.last() + 1, term, membership.transitionTo(changed)));
+        return appendAsLeader(Entry.configChange(log.last() + 1, term, voterConfig.transitionTo(changed)));
     }
 
     /** There is a new connection to a voter: what was under way on the one before is lost. */
     public void onReconnected(Instant now, String name) {
         PeerProgress p = peers.get(name);
         if (role == Role.LEADER && p != null) {
-            p.sendAgain(now, Duration.ZERO);
-            p.pieceSent = null;
+            p.resendIfStalled(now, Duration.ZERO);
+            p.chunkSentAt = null;
             sendTo(now, p);
         }
     }
 
-    private long appendOwn(Entry entry) {
-        write(List.of(entry));
+    private long appendAsLeader(Entry entry) {
+        appendToLog(List.of(entry));
         for (PeerProgress p : peers.values()) {
-            if (p.sending == null) {
-                sendTo(roundBegan, p);
+            if (p.snapshotInTransfer == null) {
+                sendTo(roundStartedAt, p);
             }
         }
         return entry.index();
     }
 
     private void sendTo(Instant now, PeerProgress p) {
-        if (p.next < log.firstKept()) {
-            sendPiece(now, p);
+        if (p.nextIndex < log.firstRetained()) {
+            sendChunk(now, p);
             return;
         }
-        p.sending = null;
-        List<Entry> entries = p.mayBeSentEntries(WINDOW, settings.transport().probesFirst) ? log.from(p.next, settings.maxMessageBytes()) : List.of();
-        send(p.name, new Message.AppendRequest(term, p.next - 1, log.term(p.next - 1), commit, round, entries));
-        p.sent(entries.size());
+        p.snapshotInTransfer = null;
+        List<Entry> entries = p.maySendEntries(MAX_APPENDS_IN_FLIGHT, settings.transport().probesFirst) ? log.from(p.nextIndex, settings.maxMessageBytes()) : List.of();
+        send(p.name, new Message.AppendRequest(term, p.nextIndex - 1, log.term(p.nextIndex - 1), lastCommitted, round, entries));
+        p.onAppendSent(entries.size());
     }
 
     /** Whether a snapshot that is on its way is sent to its end, though there is a newer one. */
@@ -723,42 +723,42 @@
     }
 
     /** A snapshot that is on its way stays the same until it is there, however many newer ones there are meanwhile. */
-    private void sendPiece(Instant now, PeerProgress p) {
-        if (p.sending == null || !keepsStartedSnapshot() && p.sending.index() != log.snapshot().index()) {
-            p.sending = log.snapshot();
-            p.have = 0;
-            p.pieceSent = null;
-        }
-        Snapshot s = p.sending;
-        boolean again = p.pieceSent == null || !now.isBefore(p.pieceSent.plus(settings.transport().patience));
-        int length = again ? Math.min(roomBeside(s.voters()), s.data().length - p.have) : 0;
+    private void sendChunk(Instant now, PeerProgress p) {
+        if (p.snapshotInTransfer == null || !keepsStartedSnapshot() && p.snapshotInTransfer.index() != log.snapshot().index()) {
+            p.snapshotInTransfer = log.snapshot();
+            p.bytesReceived = 0;
+            p.chunkSentAt = null;
+        }
+        Snapshot s = p.snapshotInTransfer;
+        boolean again = p.chunkSentAt == null || !now.isBefore(p.chunkSentAt.plus(settings.transport().resendDelay));
+        int length = again ? Math.min(chunkCapacity(s.voters()), s.data().length - p.bytesReceived) : 0;
         byte[] bytes = new byte[length];
-        System.arraycopy(s.data(), p.have, bytes, 0, length);
-        send(p.name, new Message.SnapshotChunk(term, round, s.index(), s.term(), s.voters(), s.data().length, p.have, bytes));
+        System.arraycopy(s.data(), p.bytesReceived, bytes, 0, length);
+        send(p.name, new Message.SnapshotChunk(term, round, s.index(), s.term(), s.voters(), s.data().length, p.bytesReceived, bytes));
         if (again) {
-            p.pieceSent = now;
+            p.chunkSentAt = now;
         }
     }
 
     /** Guards against pieces that no datagram holds: the voters' names go with each, and may be long. */
-    private int roomBeside(List<String> names) {
+    private int chunkCapacity(List<String> names) {
         int taken = names.stream().mapToInt(n -> n.length() + 1).sum();
         return Math.max(settings.maxMessageBytes() / 4, settings.maxMessageBytes() - taken);
     }
 
-    private void onAppendReply(Instant now, String from, Message.AppendResponse m) {
+    private void onAppendResponse(Instant now, String from, Message.AppendResponse m) {
         PeerProgress p = role == Role.LEADER ? peers.get(from) : null;
         if (p == null) {
             return;
         }
-        boolean goesBack = !m.ok() && m.round() >= p.refusedRound && m.match() + 1 < p.next
-                && p.refused(m.match(), m.round(), round);
-        hearPeer(now, p, m.round());
+        boolean goesBack = !m.ok() && m.round() >= p.rejectedRound && m.match() + 1 < p.nextIndex
+                && p.onRejected(m.match(), m.round(), round);
+        recordPeerContact(now, p, m.round());
         if (m.ok()) {
-            p.alikeTo(m.match());
-            handOverTo(p);
-            count(now);
-            if (role == Role.LEADER && p.next <= log.last() && p.underWay < WINDOW) {
+            p.onMatch(m.match());
+            transferIfCaughtUp(p);
+            advanceCommitIndex(now);
+            if (role == Role.LEADER && p.nextIndex <= log.last() && p.appendsInFlight < MAX_APPENDS_IN_FLIGHT) {
                 sendTo(now, p);
             }
         } else if (goesBack) {
@@ -766,27 +766,27 @@
         }
     }
 
-    private void hearPeer(Instant now, PeerProgress p, long itsRound) {
-        p.heard = now;
-        p.round = Math.max(p.round, itsRound);
-        countRounds();
+    private void recordPeerContact(Instant now, PeerProgress p, long itsRound) {
+        p.lastHeard = now;
+        p.lastRound = Math.max(p.lastRound, itsRound);
+        advanceConfirmedRound();
     }
 
     /** What a majority has on disk is decided. */
-    private void count(Instant now) {
-        long decided = decidingConfig().quorumValue(this::onDiskOf, this::majority);
-        if (decided > commit && mayCommitByCounting(decided)) {
+    private void advanceCommitIndex(Instant now) {
+        long decided = decidingConfig().quorumValue(this::durableIndexOf, this::majority);
+        if (decided > lastCommitted && mayCommitByCounting(decided)) {
             commitTo(decided);
-            settle(now);
+            continueVoterChange(now);
         }
     }
 
-    private long onDiskOf(String voter) {
+    private long durableIndexOf(String voter) {
         if (voter.equals(settings.self())) {
-            return durable;
+            return durableIndex;
         }
         PeerProgress p = peers.get(voter);
-        return p == null || !p.counts() ? 0 : p.match;
+        return p == null || !p.countsTowardsQuorum() ? 0 : p.matchIndex;
     }
 
     /** Of earlier terms nothing is decided by counting (section 5.4.2 of the paper), only by what stands behind it. */
@@ -798,20 +798,20 @@
      * After a decided change of the voters: a joint step is followed by the last one; those that are none any more hear
      * nothing more, this one steps down.
      */
-    private void settle(Instant now) {
-        if (log.lastChange() > commit) {
+    private void continueVoterChange(Instant now) {
+        if (log.lastVoterChange() > lastCommitted) {
             return;
         }
-        if (membership.isJoint()) {
-            appendOwn(Entry.voterChange(log.last() + 1, term, voters()));
+        if (voterConfig.isJoint()) {
+            appendAsLeader(Entry.voterChange(log.last() + 1, term, voters()));
             return;
         }
         if (!isVoter()) {
             beginRound(now); // so that the others hear that the change is decided
-            follow(now, term, null);
+            becomeFollower(now, term, null);
             return;
         }
-        peers.keySet().removeIf(name -> !membership.includes(name) && !learners.contains(name));
+        peers.keySet().removeIf(name -> !voterConfig.includes(name) && !learners.contains(name));
     }
 
     // ---- snapshots
@@ -826,57 +826,57 @@
         if (data.length > MAX_SNAPSHOT_BYTES) {
             throw new IllegalArgumentException("a snapshot of " + data.length + " bytes, over " + MAX_SNAPSHOT_BYTES);
         }
-        VoterConfig then = log.membershipAfter(applied);
-        if (applied > log.snapshot().index() && !then.isJoint()) {
-            log.replace(new Snapshot(applied, log.term(applied), then.voters(), data));
-            store(new Write.FullState(saved()));
+        VoterConfig then = log.voterConfigAfter(lastApplied);
+        if (lastApplied > log.snapshot().index() && !then.isJoint()) {
+            log.replaceSnapshot(new Snapshot(lastApplied, log.term(lastApplied), then.voters(), data));
+            store(new Write.FullState(persistentState()));
         }
     }
 
-    private PersistentState saved() {
-        return new PersistentState(term, vote, log.snapshot(), log.all());
+    private PersistentState persistentState() {
+        return new PersistentState(term, votedFor, log.snapshot(), log.entriesAfterSnapshot());
     }
 
-    private void onPiece(String from, Message.SnapshotChunk m) {
-        if (m.index() <= commit) {
-            send(from, new Message.AppendResponse(term, m.round(), true, commit));
+    private void onSnapshotChunk(String from, Message.SnapshotChunk m) {
+        if (m.index() <= lastCommitted) {
+            send(from, new Message.AppendResponse(term, m.round(), true, lastCommitted));
             return;
         }
         if (m.whole() < 0 || m.whole() > MAX_SNAPSHOT_BYTES) {
             return;
         }
-        Snapshot whole = incoming.add(m);
+        Snapshot whole = incomingSnapshot.add(m);
         if (whole == null) {
-            send(from, new Message.SnapshotChunkResponse(term, m.round(), m.index(), incoming.have()));
+            send(from, new Message.SnapshotChunkResponse(term, m.round(), m.index(), incomingSnapshot.bytesReceived()));
             return;
         }
-        takeUp(whole);
+        installSnapshot(whole);
         send(from, new Message.AppendResponse(term, m.round(), true, m.index()));
     }
 
-    private void takeUp(Snapshot snapshot) {
-        log.replace(snapshot);
-        membership = log.membership();
-        commit = snapshot.index();
-        applied = commit;
-        unstored.clear();
-        durable = Math.min(durable, commit);
-        unstored.add(new PendingAppend(store(new Write.FullState(saved())), log.last()));
+    private void installSnapshot(Snapshot snapshot) {
+        log.replaceSnapshot(snapshot);
+        voterConfig = log.voterConfig();
+        lastCommitted = snapshot.index();
+        lastApplied = lastCommitted;
+        pendingAppends.clear();
+        durableIndex = Math.min(durableIndex, lastCommitted);
+        pendingAppends.add(new PendingAppend(store(new Write.FullState(persistentState())), log.last()));
         actions.restore(snapshot);
     }
 
-    private void onPieceReply(Instant now, String from, Message.SnapshotChunkResponse m) {
+    private void onSnapshotChunkResponse(Instant now, String from, Message.SnapshotChunkResponse m) {
         PeerProgress p = role == Role.LEADER ? peers.get(from) : null;
         if (p == null) {
             return;
         }
-        hearPeer(now, p, m.round());
-        if (p.sending != null && p.sending.index() == m.index() && m.have() >= 0
-                && m.have() <= p.sending.data().length) {
-            boolean further = m.have() != p.have;
-            p.have = m.have();
+        recordPeerContact(now, p, m.round());
+        if (p.snapshotInTransfer != null && p.snapshotInTransfer.index() == m.index() && m.have() >= 0
+                && m.have() <= p.snapshotInTransfer.data().length) {
+            boolean further = m.have() != p.bytesReceived;
+            p.bytesReceived = m.have();
             if (further) {
-                p.pieceSent = null;
+                p.chunkSentAt = null;
                 sendTo(now, p);
             }
         }
@@ -894,8 +894,8 @@
         if (role != Role.LEADER) {
             return 0;
         }
-        if (now.isBefore(roundBegan.plus(GATHER))) {
-            roundWanted = true;
+        if (now.isBefore(roundStartedAt.plus(ROUND_BATCH_DELAY))) {
+            isRoundRequested = true;
             return round + 1;
         }
         beginRound(now);
@@ -907,20 +907,20 @@
         return majority(voters);
     }
 
-    private void countRounds() {
-        long by = decidingConfig().quorumValue(this::roundOf, this::leaderQuorum);
+    private void advanceConfirmedRound() {
+        long by = decidingConfig().quorumValue(this::confirmedRoundOf, this::leaderQuorum);
         if (by > confirmedRound) {
             confirmedRound = by;
             actions.roundConfirmed(by);
         }
     }
 
-    private long roundOf(String voter) {
+    private long confirmedRoundOf(String voter) {
         if (voter.equals(settings.self())) {
             return round;
         }
         PeerProgress p = peers.get(voter);
-        return p == null || !p.counts() ? 0 : p.round;
+        return p == null || !p.countsTowardsQuorum() ? 0 : p.lastRound;
     }
 
     /**
@@ -933,15 +933,15 @@
         if (role != Role.LEADER || others().isEmpty()) {
             return false;
         }
-        handingOverUntil = now.plus(settings.electionTimeout());
-        handedOver = false;
-        peers.values().forEach(this::handOverTo);
+        transferDeadline = now.plus(settings.electionTimeout());
+        isTransferSent = false;
+        peers.values().forEach(this::transferIfCaughtUp);
         return true;
     }
 
-    private void handOverTo(PeerProgress p) {
-        if (handingOverUntil != null && !handedOver && p.counts() && p.match == log.last() && voters().contains(p.name)) {
-            handedOver = true;
+    private void transferIfCaughtUp(PeerProgress p) {
+        if (transferDeadline != null && !isTransferSent && p.countsTowardsQuorum() && p.matchIndex == log.last() && voters().contains(p.name)) {
+            isTransferSent = true;
             send(p.name, new Message.TimeoutNow(term));
         }
     }
@@ -949,23 +949,23 @@
     // ---- disk
 
     private long store(Write write) {
-        long number = disk.begin();
+        long number = diskBarrier.begin();
         actions.store(number, write);
         return number;
     }
 
     /** All writes up to this number are on disk. */
     public void onStored(Instant now, long number) {
-        List<OutboundMessage> free = disk.done(number);
-        while (!unstored.isEmpty() && unstored.peek().number() <= disk.done()) {
-            durable = Math.max(durable, unstored.poll().last());
+        List<OutboundMessage> free = diskBarrier.done(number);
+        while (!pendingAppends.isEmpty() && pendingAppends.peek().number() <= diskBarrier.done()) {
+            durableIndex = Math.max(durableIndex, pendingAppends.poll().lastIndex());
         }
         free.forEach(m -> actions.send(m.to(), m.message()));
-        if (role == Role.CANDIDATE && disk.done() >= ownVote) {
-            granted.add(settings.self());
+        if (role == Role.CANDIDATE && diskBarrier.done() >= ownVoteWrite) {
+            votesGranted.add(settings.self());
             countVotes(now);
         } else if (role == Role.LEADER) {
-            count(now);
+            advanceCommitIndex(now);
         }
     }
 
@@ -973,10 +973,10 @@
     private void send(String to, Message m) {
         boolean free = m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk || m instanceof Message.TimeoutNow
                 || m instanceof Message.VoteRequest a && a.pre() || m instanceof Message.VoteResponse r && r.pre();
-        if (free || !disk.isBusy()) {
+        if (free || !diskBarrier.isBusy()) {
             actions.send(to, m);
         } else {
-            disk.hold(new OutboundMessage(to, m));
+            diskBarrier.hold(new OutboundMessage(to, m));
         }
     }
 }
--- a/src/main/java/rowanplank/agreement/SnapshotAssembler.java
+++ b/src/main/java/rowanplank/agreement/SnapshotAssembler.java
@@ -7,12 +7,12 @@
  */
 final class SnapshotAssembler {
     private Message.SnapshotChunk first;
-    private byte[] gathered;
-    private int have;
+    private byte[] buffer;
+    private int bytesReceived;
 
     /** How many bytes are there, without a gap from the beginning on. */
-    int have() {
-        return have;
+    int bytesReceived() {
+        return bytesReceived;
     }
 
     /**
@@ -24,19 +24,19 @@
     Snapshot add(Message.SnapshotChunk piece) {
         if (first == null || first.index() != piece.index() || first.whole() != piece.whole()) {
             first = piece;
-            gathered = new byte[piece.whole()];
-            have = 0;
+            buffer = new byte[piece.whole()];
+            bytesReceived = 0;
         }
-        if (piece.offset() == have && piece.bytes().length <= gathered.length - have) {
-            System.arraycopy(piece.bytes(), 0, gathered, have, piece.bytes().length);
-            have += piece.bytes().length;
+        if (piece.offset() == bytesReceived && piece.bytes().length <= buffer.length - bytesReceived) {
+            System.arraycopy(piece.bytes(), 0, buffer, bytesReceived, piece.bytes().length);
+            bytesReceived += piece.bytes().length;
         }
-        if (have < gathered.length) {
+        if (bytesReceived < buffer.length) {
             return null;
         }
-        Snapshot whole = new Snapshot(piece.index(), piece.indexTerm(), piece.voters(), gathered);
+        Snapshot whole = new Snapshot(piece.index(), piece.indexTerm(), piece.voters(), buffer);
         first = null;
-        gathered = null;
+        buffer = null;
         return whole;
     }
 }
