--- a/src/main/java/rowanplank/fleet/BoundedPrograms.java
+++ b/src/main/java/rowanplank/fleet/BoundedPrograms.java
@@ -12,7 +12,7 @@
 /** Programs that may take so long at the most: each is asked to end a little before that, and ended outright at it. */
 final class BoundedPrograms {
     /** Of its longest time, a program is asked to end when so much is left, one part in so many. */
-    private static final int ASKED_BEFORE = 5;
+    private static final int STOP_FRACTION = 5;
 
     private final Loop loop;
     private final Programs programs;
@@ -45,7 +45,7 @@
             }
             ended.accept(status);
         });
-        loop.schedule(longest.minus(longest.dividedBy(ASKED_BEFORE)), () -> {
+        loop.schedule(longest.minus(longest.dividedBy(STOP_FRACTION)), () -> {
             if (!run.over) {
                 run.running.stop();
             }
--- a/src/main/java/rowanplank/fleet/FleetComponents.java
+++ b/src/main/java/rowanplank/fleet/FleetComponents.java
@@ -17,7 +17,7 @@
 
 /** What a fleet's node is made of. The laboratory and the trial put parts with a planted fault in their places. */
 public class FleetComponents {
-    public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+    public RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return new RaftNode(settings, saved, now, actions);
     }
 
@@ -45,7 +45,7 @@
         return new WorkHolder(settings, now, actions);
     }
 
-    public LeaseHolder holder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
+    public LeaseHolder leaseHolder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
         return new LeaseHolder(settings, now, actions);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Begins a use of a budget: see {@link BudgetHolder#begin}. */
-    public long begin(BudgetHolder holder, Instant now, String budget) {
+    public long beginUse(BudgetHolder holder, Instant now, String budget) {
         return holder.begin(now, budget);
     }
 
--- a/src/main/java/rowanplank/fleet/FleetNode.java
+++ b/src/main/java/rowanplank/fleet/FleetNode.java
@@ -47,24 +47,24 @@
  * the ledger and the desk. It speaks to other nodes by datagrams, one socket for all of it, and never waits for a reply.
  *
  * <p>Voters are sent to at the addresses of the file; whoever asks is answered where it asked from. The last
- * {@value #MOST_ASKERS} of those are remembered.
+ * {@value #MAX_REQUESTERS} of those are remembered.
  */
 public final class FleetNode {
-    private static final int MOST_ASKERS = 4096;
-    private static final Duration RETRY = Duration.ofMillis(150);
+    private static final int MAX_REQUESTERS = 4096;
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(150);
     private static final Duration PARK = Duration.ofSeconds(1);
-    private static final Duration POLL = Duration.ofMillis(400);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(400);
     /** So often a line says that datagrams were dropped, at the most. */
-    private static final Duration BETWEEN_DROPPED = Duration.ofSeconds(10);
+    private static final Duration DROP_LOG_INTERVAL = Duration.ofSeconds(10);
     /** What staff ask is answered within this time, or given up. */
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
     /** What it has of the machine. */
-    public record Platform(Loop loop, StateFile.Files files, WholeFiles pictures, Programs programs, RateLimitedLog log) { }
+    public record Platform(Loop loop, StateFile.Files files, WholeFiles statusFiles, Programs programs, RateLimitedLog log) { }
 
     /** The node's clients, as the order of work takes them from it and gives them back. */
     public interface Clients {
-        Clients NONE = servedBy(() -> false);
+        Clients NONE = withReadyCheck(() -> false);
 
         /** Take no clients any more, and let go those that are there. */
         void drain();
@@ -79,12 +79,12 @@
         boolean isReady();
 
         /** What has been answered since the process began, and is open now; null where that is not counted. */
-        default Ask.Service answered() {
+        default Ask.Service serviceCounts() {
             return null;
         }
 
         /** Clients that are nowhere, but for what says whether they are served. */
-        static Clients servedBy(BooleanSupplier ready) {
+        static Clients withReadyCheck(BooleanSupplier ready) {
             return new Clients() {
                 @Override
                 public void drain() { }
@@ -107,11 +107,11 @@
 
     private FleetConfig config;
     private final long incarnation;
-    private final FleetComponents parts;
-    private final Platform machine;
+    private final FleetComponents components;
+    private final Platform platform;
     private final Loop loop;
-    private final EnvelopeCodec form;
-    private final SerialExecutor turns;
+    private final EnvelopeCodec codec;
+    private final SerialExecutor executor;
     private final LeaseHolder holder;
     /** Its session's number of this process: no other one's is below zero. */
     private final long budgetsIncarnation;
@@ -119,75 +119,75 @@
     private final WorkerRunner workers;
     /** Null before the start, and where it has no part in an order of work. */
     private WorkHolder work;
-    private final ServiceWindow lately = new ServiceWindow();
+    private final ServiceWindow serviceWindow = new ServiceWindow();
     /** The latest version of the ledger's entries that each voter's process has said it understands. */
-    private final Map<String, Integer> known = new TreeMap<>();
+    private final Map<String, Integer> understoodVersions = new TreeMap<>();
     /** Null where places at page servers are not shared. */
-    private final SlotLimiter places;
-    private final RateLimiter rates;
+    private final SlotLimiter slots;
+    private final RateLimiter rateLimiter;
     private final Asker asker;
     private final Membership members;
     private final TaskRunner tasks;
     /** Who waits for an answer of the asker. */
-    private final Map<Long, Consumer<Result>> reading = new TreeMap<>();
-    private final Map<Long, InetSocketAddress> askers = new LinkedHashMap<>() {
+    private final Map<Long, Consumer<Result>> pendingRequests = new TreeMap<>();
+    private final Map<Long, InetSocketAddress> requesters = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, InetSocketAddress> eldest) {
-            return size() > MOST_ASKERS;
+            return size() > MAX_REQUESTERS;
         }
     };
     private Loop.Datagrams socket;
     private Voter voter;
     private Loop.Timer timer;
-    private String halted;
-    private boolean finished;
+    private String haltReason;
+    private boolean tasksFinished;
     private boolean ending;
     private boolean stopped;
     private Runnable whenStopped;
-    private long dropped;
+    private long datagramsDropped;
     private Clients clients = Clients.NONE;
-    private Instant droppedTold;
-    private long sent;
-    private long sentBytes;
+    private Instant lastDropLogged;
+    private long datagramsSent;
+    private long bytesSent;
     /** Where another process is that says it is this node, and since when it has been heard of. */
-    private String twin;
-    private Instant twinSince;
-    private Instant twinHeard;
+    private String duplicateAddress;
+    private Instant duplicateSince;
+    private Instant duplicateLastHeard;
 
     /** @param incarnation tells this process from all others of the node's name, before and after it */
     public FleetNode(FleetConfig config, long incarnation, FleetComponents parts, Platform machine) {
         this.config = config;
         this.incarnation = incarnation;
-        this.parts = parts;
-        this.machine = machine;
+        this.components = parts;
+        this.platform = machine;
         loop = machine.loop();
-        form = new EnvelopeCodec(config.name());
-        turns = new SerialExecutor(this::sleep, this::failed);
+        codec = new EnvelopeCodec(config.name());
+        executor = new SerialExecutor(this::scheduleWakeUp, this::onUnexpectedFailure);
         LeaseHolder.Settings settings = new LeaseHolder.Settings(config.node(), incarnation,
-                List.copyOf(config.addresses().keySet()), RETRY, PARK, config.timing().session());
-        holder = parts.holder(settings, loop.clock().now(), new LeaseActions());
+                List.copyOf(config.addresses().keySet()), RETRY_INTERVAL, PARK, config.timing().session());
+        holder = parts.leaseHolder(settings, loop.clock().now(), new LeaseActions());
         budgetsIncarnation = -incarnation;
         budgets = parts.budgetHolder(new BudgetHolder.Settings(config.node(), budgetsIncarnation,
-                List.copyOf(config.addresses().keySet()), RETRY, config.sharing().part(), config.sharing().longestUse(),
+                List.copyOf(config.addresses().keySet()), RETRY_INTERVAL, config.sharing().part(), config.sharing().longestUse(),
                 config.timing().drift()), loop.clock().now(), new BudgetActions());
-        asker = new Asker(settings, PATIENCE, new RequestActions());
+        asker = new Asker(settings, REQUEST_TIMEOUT, new RequestActions());
         members = parts.membership(new Membership.Settings(config.node(), Addresses.format(config.advertised()),
-                incarnation, reached(), config.timing().probe(), incarnation), loop.clock().now(), new MembershipActions());
-        Programs programs = new StatusFileProgram(() -> this.config.pictures(), this::status, machine.pictures(),
+                incarnation, knownAddresses(), config.timing().probe(), incarnation), loop.clock().now(), new MembershipActions());
+        Programs programs = new StatusFileProgram(() -> this.config.pictures(), this::status, machine.statusFiles(),
                 machine.log(), machine.programs());
-        tasks = new TaskRunner(config, loop, programs, machine.log(), parts, holder, () -> turns.run(this::runTasks));
-        places = config.sharing().places() == null ? null
-                : new SlotLimiter(config.sharing().places(), config.node(), loop, budgets, () -> turns.run(this::share),
-                        () -> turns.run(() -> budgets.onTime(loop.clock().now())));
-        rates = new RateLimiter(config.sharing(), loop, budgets);
+        tasks = new TaskRunner(config, loop, programs, machine.log(), parts, holder, () -> executor.run(this::runTasks));
+        slots = config.sharing().places() == null ? null
+                : new SlotLimiter(config.sharing().places(), config.node(), loop, budgets, () -> executor.run(this::applyBudgets),
+                        () -> executor.run(() -> budgets.onTime(loop.clock().now())));
+        rateLimiter = new RateLimiter(config.sharing(), loop, budgets);
         workers = new WorkerRunner(config.node(), loop, machine.programs(), machine.log(), parts, budgets,
-                () -> turns.run(this::runTasks));
+                () -> executor.run(this::runTasks));
     }
 
     /** Where this node reaches others, whatever they say of themselves. */
-    private Map<String, String> reached() {
+    private Map<String, String> knownAddresses() {
         Map<String, String> reached = new TreeMap<>();
         config.addresses().forEach((name, address) -> reached.put(name, Addresses.format(address)));
         config.members().forEach((name, address) -> reached.put(name, Addresses.format(address)));
@@ -195,18 +195,18 @@
     }
 
     /** What bounds this node's tries at page servers. */
-    public ServerSlots places() {
-        return places == null ? ServerSlots.NONE : places;
+    public ServerSlots slots() {
+        return slots == null ? ServerSlots.NONE : slots;
     }
 
     /** What bounds its tries beyond the first, and its calls to discovery. */
     public FleetLimits bounds() {
-        return rates;
+        return rateLimiter;
     }
 
     /** What says whether this node takes clients; to be told before the start. */
     public void setReadyCheck(BooleanSupplier ready) {
-        setClients(Clients.servedBy(ready));
+        setClients(Clients.withReadyCheck(ready));
     }
 
     /** Whom this node serves; to be told before the start. */
@@ -221,42 +221,42 @@
      */
     public void start() throws IOException {
         if (config.isVoter()) {
-            StateFile file = parts.files(machine.files()).open(config.directory(), loop,
+            StateFile file = components.files(platform.files()).open(config.directory(), loop,
                     e -> halt("the disk failed: " + e.getMessage() + "; this voter takes no part any more"));
-            voter = new Voter(config, incarnation, parts, file, turns, new VoterEnvironment());
+            voter = new Voter(config, incarnation, components, file, executor, new VoterEnvironment());
         }
         try {
-            socket = loop.datagrams(config.listen(), EnvelopeCodec.MAX_DATAGRAM_BYTES, this::received);
+            socket = loop.datagrams(config.listen(), EnvelopeCodec.MAX_DATAGRAM_BYTES, this::onDatagram);
         } catch (IOException e) {
             throw new IOException("can't listen at " + Addresses.format(config.listen()) + ": " + e.getMessage(), e);
         }
-        machine.log().info(config.node() + " takes part in fleet " + config.name() + " at "
+        platform.log().info(config.node() + " takes part in fleet " + config.name() + " at "
                 + Addresses.format(socket.address()) + (voter == null ? "" : " as a voter"));
-        turns.run(() -> config.leases().forEach(l -> holder.want(loop.clock().now(), l.name(), l.length())));
-        turns.run(this::share);
+        executor.run(() -> config.leases().forEach(l -> holder.want(loop.clock().now(), l.name(), l.length())));
+        executor.run(this::applyBudgets);
         if (config.order() != null) {
             FleetConfig.Order order = config.order();
-            turns.run(() -> work = parts.workHolder(new WorkHolder.Settings(config.node(), incarnation, order.machine(),
-                    order.hall(), List.copyOf(config.addresses().keySet()), POLL, Voter.TURN_VALID, order.settle(),
+            executor.run(() -> work = components.workHolder(new WorkHolder.Settings(config.node(), incarnation, order.machine(),
+                    order.hall(), List.copyOf(config.addresses().keySet()), POLL_INTERVAL, Voter.TURN_VALIDITY, order.settle(),
                     order.servesAlone(), order.aloneAfter()), loop.clock().now(), new WorkActions()));
         }
     }
 
     /** Budgets and workers as the file has them now. */
-    private void share() {
+    private void applyBudgets() {
         Instant now = loop.clock().now();
         FleetConfig.Sharing sharing = config.sharing();
-        Map<String, Command.Define> used = BudgetMapping.byName(sharing);
-        used.putAll(places == null ? new TreeMap<>() : places.budgets(sharing));
+        Map<String, Command.Define> used = BudgetMapping.definitionsByName(sharing);
+        used.putAll(slots == null ? new TreeMap<>() : slots.budgets(sharing));
         budgets.budgets(now, used, sharing.longestUse());
         WorkerRunner.wishes(sharing.budgets(), sharing.workers()).forEach(budgets::wish);
-        rates.wish();
-        if (places != null) {
-            places.wish();
+        rateLimiter.wish();
+        if (slots != null) {
+            slots.wish();
         }
         budgets.onTime(now);
         workers.replace(now, sharing.workers());
-        turns.runLater(this::runTasks);
+        executor.runLater(this::runTasks);
     }
 
     /**
@@ -267,38 +267,38 @@
     public void stop(Duration most, Runnable done) {
         whenStopped = done;
         loop.schedule(most, this::end);
-        turns.run(members::leave);
-        tasks.finish(() -> workers.finish(() -> turns.run(() -> {
-            finished = true;
+        executor.run(members::leave);
+        tasks.finish(() -> workers.finish(() -> executor.run(() -> {
+            tasksFinished = true;
             holder.leaveAll(loop.clock().now());
-            leaveBudgets();
+            releaseBudgets();
         })));
     }
 
     /** Guards requests that are served on while the process ends: they need their places as long as there are any. */
-    private void leaveBudgets() {
-        if (places == null || clients.isEmpty()) {
+    private void releaseBudgets() {
+        if (slots == null || clients.isEmpty()) {
             budgets.leave(loop.clock().now());
         } else if (!stopped) {
-            loop.schedule(config.timing().heartbeat(), () -> turns.run(this::leaveBudgets));
+            loop.schedule(config.timing().heartbeat(), () -> executor.run(this::releaseBudgets));
         }
     }
 
     private void endWhenIdle() {
-        if (voter != null && halted == null && voter.agreement().role() == RaftNode.Role.LEADER
-                && voter.agreement().transferLeadership(loop.clock().now())) {
+        if (voter != null && haltReason == null && voter.raftNode().role() == RaftNode.Role.LEADER
+                && voter.raftNode().transferLeadership(loop.clock().now())) {
             Instant latest = loop.clock().now().plus(config.timing().election());
-            loop.schedule(config.timing().heartbeat(), () -> endOnceHandedOn(latest));
+            loop.schedule(config.timing().heartbeat(), () -> endAfterTransfer(latest));
         } else {
             end();
         }
     }
 
     /** No election is to be waited for; and whoever takes over may need this one's vote. */
-    private void endOnceHandedOn(Instant latest) {
-        if (!stopped && halted == null && voter.agreement().role() == RaftNode.Role.LEADER
+    private void endAfterTransfer(Instant latest) {
+        if (!stopped && haltReason == null && voter.raftNode().role() == RaftNode.Role.LEADER
                 && loop.clock().now().isBefore(latest)) {
-            loop.schedule(config.timing().heartbeat(), () -> endOnceHandedOn(latest));
+            loop.schedule(config.timing().heartbeat(), () -> endAfterTransfer(latest));
         } else {
             end();
         }
@@ -322,24 +322,24 @@
         try {
             socket.close();
         } catch (IOException e) {
-            machine.log().warn("closing the fleet's socket", e);
+            platform.log().warn("closing the fleet's socket", e);
         }
-        if (voter != null && halted == null) {
+        if (voter != null && haltReason == null) {
             voter.close();
         }
     }
 
     private void halt(String why) {
-        if (halted == null && !stopped) {
-            halted = why;
-            machine.log().warn(why);
+        if (haltReason == null && !stopped) {
+            haltReason = why;
+            platform.log().warn(why);
             voter.close();
         }
     }
 
     /** What must never be: a voter that has seen it takes no part any more; what it holds it may renew elsewhere. */
-    private void failed(Throwable e) {
-        machine.log().warn("the fleet's part failed", e);
+    private void onUnexpectedFailure(Throwable e) {
+        platform.log().warn("the fleet's part failed", e);
         if (voter != null) {
             halt(e + "; this voter takes no part any more");
         }
@@ -348,7 +348,7 @@
     // ---- time
 
     /** Nothing waits any more: until something comes, or is due. */
-    private void sleep() {
+    private void scheduleWakeUp() {
         if (timer != null) {
             timer.cancel();
             timer = null;
@@ -356,18 +356,18 @@
         if (stopped) {
             return;
         }
-        if (finished && holder.isIdle() && budgets.isIdle() && !ending) {
+        if (tasksFinished && holder.isIdle() && budgets.isIdle() && !ending) {
             ending = true;
             loop.execute(this::endWhenIdle);
         }
         Instant due = earlier(earlier(holder.due(), asker.due()), earlier(tasks.due(), members.due()));
         due = earlier(due, earlier(budgets.due(), workers.due()));
         due = earlier(due, work == null ? null : work.due());
-        due = earlier(due, places == null || finished ? null : places.due());
-        due = earlier(due, finished ? null : rates.due());
-        due = earlier(due, voter == null || halted != null ? null : voter.due());
+        due = earlier(due, slots == null || tasksFinished ? null : slots.due());
+        due = earlier(due, tasksFinished ? null : rateLimiter.due());
+        due = earlier(due, voter == null || haltReason != null ? null : voter.due());
         if (due != null) {
-            timer = loop.schedule(Duration.between(loop.clock().now(), due), this::wake);
+            timer = loop.schedule(Duration.between(loop.clock().now(), due), this::onWakeUp);
         }
     }
 
@@ -375,15 +375,15 @@
         return a == null || b != null && b.isBefore(a) ? b : a;
     }
 
-    private void wake() {
+    private void onWakeUp() {
         timer = null;
         Instant now = loop.clock().now();
-        turns.run(() -> {
+        executor.run(() -> {
             holder.onTime(now);
             asker.onTime(now);
-            rates.onTime(now);
-            if (places != null) {
-                places.onTime(now);
+            rateLimiter.onTime(now);
+            if (slots != null) {
+                slots.onTime(now);
             }
             budgets.onTime(now);
             if (work != null) {
@@ -391,8 +391,8 @@
             }
             members.setServing(clients.isReady());
             members.onTime(now);
-            turns.runLater(this::runTasks);
-            if (voter != null && halted == null) {
+            executor.runLater(this::runTasks);
+            if (voter != null && haltReason == null) {
                 voter.onTime(now);
             }
         });
@@ -407,52 +407,52 @@
 
     // ---- datagrams
 
-    private void received(InetSocketAddress from, ByteBuffer payload) {
+    private void onDatagram(InetSocketAddress from, ByteBuffer payload) {
         Envelope e;
         try {
-            e = form.read(payload);
+            e = codec.read(payload);
         } catch (MalformedException problem) {
-            dropped++;
-            tellDropped(from, problem);
+            datagramsDropped++;
+            logDropped(from, problem);
             return;
         }
         Instant now = loop.clock().now();
         if (config.addresses().containsKey(e.sender())) {
-            known.put(e.sender(), e.understoodVersion());
+            understoodVersions.put(e.sender(), e.understoodVersion());
         }
         if (e.answer() != null) {
-            turns.run(() -> take(now, e.answer()));
+            executor.run(() -> onAnswer(now, e.answer()));
         } else if (e.ask() != null) {
-            askers.remove(e.incarnation());
-            askers.put(e.incarnation(), from);
-            asked(now, e.ask());
+            requesters.remove(e.incarnation());
+            requesters.put(e.incarnation(), from);
+            onRequest(now, e.ask());
         } else if (e.gossip() != null) {
-            turns.run(() -> members.onMessage(now, e.sender(), Addresses.format(from), e.gossip()));
-        } else if (voter != null && halted == null && config.addresses().containsKey(e.sender())
+            executor.run(() -> members.onMessage(now, e.sender(), Addresses.format(from), e.gossip()));
+        } else if (voter != null && haltReason == null && config.addresses().containsKey(e.sender())
                 && !e.sender().equals(config.node())) {
-            voter.heardOf(e.sender(), e.understoodVersion());
+            voter.onUnderstoodVersion(e.sender(), e.understoodVersion());
             voter.onMessage(now, e.sender(), e.message());
         }
     }
 
     private void send(InetSocketAddress to, Envelope e) {
-        ByteBuffer bytes = form.write(e);
-        sent++;
-        sentBytes += bytes.remaining();
+        ByteBuffer bytes = codec.write(e);
+        datagramsSent++;
+        bytesSent += bytes.remaining();
         socket.send(to, bytes);
     }
 
     /** Guards the log: another fleet's node that was given this address sends on and on. */
-    private void tellDropped(InetSocketAddress from, MalformedException problem) {
+    private void logDropped(InetSocketAddress from, MalformedException problem) {
         Instant now = loop.clock().now();
-        if (droppedTold == null || !now.isBefore(droppedTold.plus(BETWEEN_DROPPED))) {
-            droppedTold = now;
-            machine.log().warn("a datagram from " + Addresses.format(from) + " was dropped: " + problem.getMessage()
-                    + "; " + dropped + " so far");
+        if (lastDropLogged == null || !now.isBefore(lastDropLogged.plus(DROP_LOG_INTERVAL))) {
+            lastDropLogged = now;
+            platform.log().warn("a datagram from " + Addresses.format(from) + " was dropped: " + problem.getMessage()
+                    + "; " + datagramsDropped + " so far");
         }
     }
 
-    private void take(Instant now, Ask.Answer answer) {
+    private void onAnswer(Instant now, Ask.Answer answer) {
         if (answer.incarnation() == budgetsIncarnation) {
             budgets.onAnswer(now, answer);
         } else if (answer.number() >= WorkHolder.FIRST_NUMBER) {
@@ -466,27 +466,27 @@
         }
     }
 
-    private void asked(Instant now, Ask ask) {
-        if (voter != null && halted == null && voter.onAsk(now, ask)) {
+    private void onRequest(Instant now, Ask ask) {
+        if (voter != null && haltReason == null && voter.onAsk(now, ask)) {
             return;
         }
-        String leader = voter == null || halted != null ? null : voter.agreement().leader();
+        String leader = voter == null || haltReason != null ? null : voter.raftNode().leader();
         answer(ask, new Ask.Answer(ask.incarnation(), ask.number(), new Result(Result.Kind.NOT_LEADER, 0,
                 leader == null || leader.equals(config.node()) ? "" : leader)));
     }
 
     private void answer(Ask ask, Ask.Answer answer) {
-        tell(answer);
+        deliver(answer);
     }
 
-    private void tell(Ask.Answer answer) {
+    private void deliver(Ask.Answer answer) {
         if (Math.abs(answer.incarnation()) == incarnation) {
-            turns.runLater(() -> take(loop.clock().now(), answer));
+            executor.runLater(() -> onAnswer(loop.clock().now(), answer));
             return;
         }
-        InetSocketAddress to = askers.get(answer.incarnation());
+        InetSocketAddress to = requesters.get(answer.incarnation());
         if (to != null) {
-            send(to, Envelope.of(config.node(), incarnation, parts.understoodVersion(), answer));
+            send(to, Envelope.of(config.node(), incarnation, components.understoodVersion(), answer));
         }
     }
 
@@ -495,7 +495,7 @@
         public void send(String to, Message message) {
             InetSocketAddress address = config.addresses().get(to);
             if (address != null) {
-                FleetNode.this.send(address, Envelope.of(config.node(), incarnation, parts.understoodVersion(), message));
+                FleetNode.this.send(address, Envelope.of(config.node(), incarnation, components.understoodVersion(), message));
             }
         }
 
@@ -505,8 +505,8 @@
         }
 
         @Override
-        public void tell(Ask.Answer answer) {
-            FleetNode.this.tell(answer);
+        public void deliver(Ask.Answer answer) {
+            FleetNode.this.deliver(answer);
         }
 
         @Override
@@ -524,7 +524,7 @@
         }
 
         @Override
-        public boolean lives(String node) {
+        public boolean isAlive(String node) {
             return node.equals(config.node()) || members.members().stream().anyMatch(m -> m.update().name().equals(node)
                     && m.update().state() != MemberUpdate.State.DEAD);
         }
@@ -540,8 +540,8 @@
         }
 
         @Override
-        public String work() {
-            return PagedJsonReader.ascii(workStatus().toString());
+        public String workStatusText() {
+            return PagedJsonReader.toAsciiJson(workStatus().toString());
         }
     }
 
@@ -553,21 +553,21 @@
 
         @Override
         public void drain() {
-            machine.log().info(config.node() + " takes no clients for the fleet's order of work");
+            platform.log().info(config.node() + " takes no clients for the fleet's order of work");
             clients.drain();
         }
 
         @Override
         public void rejoin() {
-            machine.log().info(config.node() + " may take clients, as the fleet's order of work has it");
+            platform.log().info(config.node() + " may take clients, as the fleet's order of work has it");
             clients.rejoin();
-            lately.clear();
+            serviceWindow.clear();
         }
 
         @Override
         public Ask.Service service() {
-            Ask.Service all = clients.answered();
-            return all == null ? null : lately.look(loop.clock().now(), places == null ? all : places.used(all));
+            Ask.Service all = clients.serviceCounts();
+            return all == null ? null : serviceWindow.addSample(loop.clock().now(), slots == null ? all : slots.withSlots(all));
         }
 
         @Override
@@ -583,10 +583,10 @@
 
     private void ask(String target, Ask ask) {
         if (target.equals(config.node())) {
-            turns.runLater(() -> asked(loop.clock().now(), ask));
+            executor.runLater(() -> onRequest(loop.clock().now(), ask));
         } else {
-            send(config.addresses().get(target), Envelope.of(config.node(), ask.incarnation(), parts.understoodVersion(),
-                    LedgerCodec.downgrade(ask, Math.min(parts.understoodVersion(), known.getOrDefault(target, LedgerCodec.FIRST_VERSION)))));
+            send(config.addresses().get(target), Envelope.of(config.node(), ask.incarnation(), components.understoodVersion(),
+                    LedgerCodec.downgrade(ask, Math.min(components.understoodVersion(), understoodVersions.getOrDefault(target, LedgerCodec.FIRST_VERSION)))));
         }
     }
 
@@ -598,8 +598,8 @@
 
         @Override
         public void more(String budget) {
-            turns.runLater(() -> {
-                workers.more(loop.clock().now(), budget);
+            executor.runLater(() -> {
+                workers.onBudgetIncreased(loop.clock().now(), budget);
                 runTasks();
             });
         }
@@ -613,7 +613,7 @@
 
         @Override
         public void answered(long number, Result result) {
-            reading.remove(number).accept(result);
+            pendingRequests.remove(number).accept(result);
         }
     }
 
@@ -621,21 +621,21 @@
         @Override
         public void send(String address, GossipMessage note) {
             try {
-                FleetNode.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, parts.understoodVersion(), note));
+                FleetNode.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, components.understoodVersion(), note));
             } catch (ConfigException e) {
-                dropped++; // a member says that it is at no address at all
+                datagramsDropped++; // a member says that it is at no address at all
             }
         }
 
         @Override
         public void memberChanged(MemberUpdate news) {
-            machine.log().info(news.name() + " at " + news.address() + " is "
+            platform.log().info(news.name() + " at " + news.address() + " is "
                     + news.state().name().toLowerCase(Locale.ROOT) + (news.serves() ? ", and serves" : ""));
         }
 
         @Override
         public void duplicateName(String address) {
-            FleetNode.this.twin(address);
+            FleetNode.this.onDuplicateName(address);
         }
     }
 
@@ -643,16 +643,16 @@
      * What is heard of once may be old; what goes on to be heard of is there, and no voter may be there twice. A twin that
      * was silent for a session's length was ended: one that is there later is another one, and is waited for anew.
      */
-    private void twin(String address) {
+    private void onDuplicateName(String address) {
         Instant now = loop.clock().now();
         Duration session = config.timing().session();
-        boolean another = !address.equals(twin) || now.isAfter(twinHeard.plus(session));
-        twin = address;
-        twinHeard = now;
+        boolean another = !address.equals(duplicateAddress) || now.isAfter(duplicateLastHeard.plus(session));
+        duplicateAddress = address;
+        duplicateLastHeard = now;
         if (another) {
-            twinSince = now;
-        } else if (now.isAfter(twinSince.plus(session))) {
-            machine.log().warn("another process calls itself " + config.node() + ", at " + address);
+            duplicateSince = now;
+        } else if (now.isAfter(duplicateSince.plus(session))) {
+            platform.log().warn("another process calls itself " + config.node() + ", at " + address);
             if (voter != null) {
                 halt("another process calls itself " + config.node() + ", at " + address
                         + "; this voter takes no part any more");
@@ -668,25 +668,25 @@
 
         @Override
         public void granted(String lease, long fence) {
-            machine.log().info("lease " + lease + " is held by " + config.node() + " under fence " + fence);
-            turns.runLater(() -> {
+            platform.log().info("lease " + lease + " is held by " + config.node() + " under fence " + fence);
+            executor.runLater(() -> {
                 Instant now = loop.clock().now();
-                tasks.granted(now, lease);
+                tasks.leaseGranted(now, lease);
                 tasks.onTime(now);
             });
         }
 
         @Override
         public void over(String lease, long fence) {
-            machine.log().info("lease " + lease + " under fence " + fence + " is over for " + config.node());
-            tasks.over(lease);
+            platform.log().info("lease " + lease + " under fence " + fence + " is over for " + config.node());
+            tasks.leaseEnded(lease);
         }
 
         @Override
         public void claimed(String task, long period, Result result) {
-            turns.runLater(() -> {
+            executor.runLater(() -> {
                 Instant now = loop.clock().now();
-                tasks.claimed(now, task, period, result);
+                tasks.periodClaimed(now, task, period, result);
                 tasks.onTime(now);
             });
         }
@@ -707,15 +707,15 @@
         }
         FleetConfig before = config;
         config = fresh;
-        turns.run(() -> {
+        executor.run(() -> {
             Instant now = loop.clock().now();
             List<String> names = List.copyOf(fresh.addresses().keySet());
             holder.voters(names);
             asker.voters(names);
-            members.setKnownAddresses(reached());
+            members.setKnownAddresses(knownAddresses());
             for (FleetConfig.Lease l : before.leases()) {
                 if (!fresh.leases().contains(l)) {
-                    tasks.finish(l.name(), () -> turns.run(() -> leave(l.name())));
+                    tasks.finish(l.name(), () -> executor.run(() -> leave(l.name())));
                 }
             }
             tasks.replace(now, fresh.tasks());
@@ -723,7 +723,7 @@
             if (work != null) {
                 work.voters(names);
             }
-            share();
+            applyBudgets();
             fresh.leases().stream().filter(l -> !before.leases().contains(l))
                     .forEach(l -> holder.want(now, l.name(), l.length()));
         });
@@ -770,12 +770,12 @@
 
     private void ask(Ask.What what, Consumer<Result> told) {
         Instant now = loop.clock().now();
-        turns.run(() -> {
+        executor.run(() -> {
             long number = asker.ask(now, what);
             if (number == 0) {
                 loop.execute(() -> told.accept(null));
             } else {
-                reading.put(number, told);
+                pendingRequests.put(number, told);
                 asker.onTime(now);
             }
         });
@@ -793,13 +793,13 @@
         }
         Duration length = config.leases().stream().filter(l -> l.name().equals(lease)).findFirst().orElseThrow().length();
         long fence = holder.fence(lease);
-        tasks.finish(lease, () -> turns.run(() -> {
+        tasks.finish(lease, () -> executor.run(() -> {
             if (holder.fence(lease) == fence) {
                 holder.leave(loop.clock().now(), lease);
             }
         }));
-        loop.schedule(length.multipliedBy(2), () -> turns.run(() -> {
-            if (!finished) { // at the length that the file has by then, where it still has it
+        loop.schedule(length.multipliedBy(2), () -> executor.run(() -> {
+            if (!tasksFinished) { // at the length that the file has by then, where it still has it
                 config.leases().stream().filter(l -> l.name().equals(lease))
                         .forEach(l -> holder.want(loop.clock().now(), l.name(), l.length()));
             }
@@ -813,16 +813,16 @@
      * @return null where the change was taken, and is in force once {@link #status} shows it as decided; else why not
      */
     public String changeVoters(String name, boolean add) {
-        if (voter == null || halted != null || !voter.agreement().isEstablished()) {
+        if (voter == null || haltReason != null || !voter.raftNode().isEstablished()) {
             return notLeading();
         }
         if (add && !config.addresses().containsKey(name)) {
             return "no address of " + name + " is known here: it has to stand in [fleet.peers] at all nodes";
         }
-        if (voter.agreement().voters().contains(name) == add) {
+        if (voter.raftNode().voters().contains(name) == add) {
             return name + (add ? " votes already" : " does not vote");
         }
-        if (!add && voter.agreement().voters().size() == 1) {
+        if (!add && voter.raftNode().voters().size() == 1) {
             return name + " is the only voter";
         }
         return voter.changeVoters(loop.clock().now(), name, add) ? null
@@ -835,26 +835,26 @@
      * @return null where the change was taken; else why not
      */
     public String resize(String name, long whole) {
-        if (voter == null || halted != null || !voter.agreement().isEstablished()) {
+        if (voter == null || haltReason != null || !voter.raftNode().isEstablished()) {
             return notLeading();
         }
         for (FleetConfig.Budget b : config.sharing().budgets()) {
             if (b.name().equals(name)) {
-                return voter.resize(name, BudgetMapping.whole(b, whole, config.sharing()));
+                return voter.resize(name, BudgetMapping.totalShare(b, whole, config.sharing()));
             }
         }
         return "there is no budget of that name in this node's file: " + name;
     }
 
     private String notLeading() {
-        String leader = voter == null || halted != null ? null : voter.agreement().leader();
+        String leader = voter == null || haltReason != null ? null : voter.raftNode().leader();
         return "this node does not lead" + (leader == null ? "" : "; ask " + leader);
     }
 
     /** What this voter knows of the order of work. */
     private JsonObject workStatus() {
         String told = work == null ? "" : work.standing();
-        return WorkStatusJson.status(voter.ledger().work(), halted == null ? voter.standing(told) : "this voter takes no part any more",
+        return WorkStatusJson.status(voter.ledger().work(), haltReason == null ? voter.standing(told) : "this voter takes no part any more",
                 voter.waits(told, List.of(), false));
     }
 
@@ -869,20 +869,20 @@
             return;
         }
         new PagedJsonReader((from, piece) -> ask(new Ask.Look(from), piece),
-                whole -> told.accept(whole == null && voter != null ? workStatus() : whole)).begin();
+                whole -> told.accept(whole == null && voter != null ? workStatus() : whole)).start();
     }
 
     /** All that a person wants to know of this node's part, as of now at this node. */
     public JsonObject status() {
         Instant now = loop.clock().now();
         JsonObject o = new JsonObject().add("fleet", config.name()).add("node", config.node())
-                .add("incarnation", incarnation).add("datagrams_dropped", dropped)
-                .add("datagrams_sent", sent).add("bytes_sent", sentBytes);
-        if (halted != null) {
-            o.add("halted", halted);
+                .add("incarnation", incarnation).add("datagrams_dropped", datagramsDropped)
+                .add("datagrams_sent", datagramsSent).add("bytes_sent", bytesSent);
+        if (haltReason != null) {
+            o.add("halted", haltReason);
         }
         if (voter != null) {
-            voterStatus(o, voter.agreement(), voter.ledger());
+            voterStatus(o, voter.raftNode(), voter.ledger());
             if (config.order() != null) {
                 o.add("work", workStatus());
             }
@@ -892,8 +892,8 @@
                 o.add("answered_ms", Duration.between(holder.answered(), now).toMillis());
             }
         }
-        if (twin != null && !now.isAfter(twinHeard.plus(config.timing().session().multipliedBy(10)))) {
-            o.add("twin", twin);
+        if (duplicateAddress != null && !now.isAfter(duplicateLastHeard.plus(config.timing().session().multipliedBy(10)))) {
+            o.add("twin", duplicateAddress);
         }
         JsonArray met = new JsonArray();
         for (Membership.MemberState m : members.members()) {
@@ -913,9 +913,9 @@
             o.add("turn", WorkStatusJson.own(config.order().machine(), work));
         }
         if (config.sharing().places() != null || !config.sharing().budgets().isEmpty()) {
-            o.add("parts", BudgetMapping.has(budgets, config.sharing(), now)).add("workers_begun", workers.begun());
+            o.add("parts", BudgetMapping.nodeStatus(budgets, config.sharing(), now)).add("workers_begun", workers.startCount());
         }
-        return o.add("holds", held).add("runs_begun", tasks.begun()).add("runs_ended", tasks.ended());
+        return o.add("holds", held).add("runs_begun", tasks.startCount()).add("runs_ended", tasks.ended());
     }
 
     private static void voterStatus(JsonObject o, RaftNode a, Ledger l) {
@@ -941,6 +941,6 @@
         JsonArray runs = new JsonArray();
         l.runs().forEach(r -> runs.add(new JsonObject().add("task", r.task()).add("period", r.period())
                 .add("fence", r.fence())));
-        o.add("leases", leases).add("runs", runs).add("budgets", BudgetMapping.status(l));
+        o.add("leases", leases).add("runs", runs).add("budgets", BudgetMapping.ledgerStatus(l));
     }
 }
--- a/src/main/java/rowanplank/fleet/PagedJsonReader.java
+++ b/src/main/java/rowanplank/fleet/PagedJsonReader.java
@@ -10,22 +10,22 @@
 
 /** One text of the leader's, asked for piece by piece, since a datagram holds no more; begun anew where it changed meanwhile. */
 final class PagedJsonReader {
-    private static final int MOST_BEGINNINGS = 5;
+    private static final int MAX_RESTARTS = 5;
 
     private final BiConsumer<Integer, Consumer<Result>> ask;
-    private final Consumer<JsonObject> told;
+    private final Consumer<JsonObject> receiver;
     private StringBuilder text = new StringBuilder();
-    private long stamp;
-    private int begun;
+    private long version;
+    private int startCount;
 
     /** @param ask for the piece from so many letters on; answered with null where nobody could say */
     PagedJsonReader(BiConsumer<Integer, Consumer<Result>> ask, Consumer<JsonObject> told) {
         this.ask = ask;
-        this.told = told;
+        this.receiver = told;
     }
 
     /** Letters beyond ASCII as JSON writes them too: a piece must not end within one. */
-    static String ascii(String json) {
+    static String toAsciiJson(String json) {
         StringBuilder plain = new StringBuilder(json.length());
         for (char c : json.toCharArray()) {
             plain.append(c < 128 ? String.valueOf(c) : String.format("\\u%04x", (int) c));
@@ -33,35 +33,35 @@
         return plain.toString();
     }
 
-    void begin() {
-        begun++;
+    void start() {
+        startCount++;
         text = new StringBuilder();
-        ask.accept(0, this::piece);
+        ask.accept(0, this::onPage);
     }
 
-    private void piece(Result r) {
-        if (r == null || r.kind() != Result.Kind.SET || begun > MOST_BEGINNINGS) {
-            told.accept(null);
+    private void onPage(Result r) {
+        if (r == null || r.kind() != Result.Kind.SET || startCount > MAX_RESTARTS) {
+            receiver.accept(null);
             return;
         }
-        if (text.length() > 0 && r.value() != stamp) {
-            begin();
+        if (text.length() > 0 && r.value() != version) {
+            start();
             return;
         }
-        stamp = r.value();
+        version = r.value();
         text.append(r.node());
-        if (text.length() < Ask.Look.length(stamp) && !r.node().isEmpty()) {
-            ask.accept(text.length(), this::piece);
+        if (text.length() < Ask.Look.length(version) && !r.node().isEmpty()) {
+            ask.accept(text.length(), this::onPage);
         } else {
-            whole();
+            complete();
         }
     }
 
-    private void whole() {
+    private void complete() {
         try {
-            told.accept(Json.parse(text.toString()).asObject());
+            receiver.accept(Json.parse(text.toString()).asObject());
         } catch (ParseException | UnsupportedOperationException e) {
-            told.accept(null);
+            receiver.accept(null);
         }
     }
 }
--- a/src/main/java/rowanplank/fleet/TaskRunner.java
+++ b/src/main/java/rowanplank/fleet/TaskRunner.java
@@ -27,17 +27,17 @@
  */
 final class TaskRunner {
     /** What could not be asked for is asked for again after so long. */
-    private static final Duration AGAIN = Duration.ofMillis(250);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
 
     private final class Job {
         final FleetConfig.Task task;
-        Instant next;
+        Instant nextStart;
         /** Of a task that runs once in a period: the one whose run is this node's, and the last one that is over. */
-        long claimed = -1;
-        long done = -1;
+        long claimedPeriod = -1;
+        long lastPeriodDone = -1;
         boolean claiming;
         /** It stands in the file no more, and its last run is still ending: nothing of its name begins before that. */
-        boolean gone;
+        boolean removed;
         /** Nothing begins until the lease is granted anew. */
         boolean paused;
         Programs.Running running;
@@ -53,12 +53,12 @@
     private final Loop loop;
     private final BoundedPrograms programs;
     private final RateLimitedLog log;
-    private final FleetComponents parts;
+    private final FleetComponents components;
     private final LeaseHolder holder;
     private final Runnable changed;
     private final List<Job> jobs = new ArrayList<>();
-    private long begun;
-    private long ended;
+    private long startCount;
+    private long successCount;
     private Runnable whenFinished;
 
     /** @param changed run when {@link #due} may have come nearer by itself */
@@ -68,20 +68,20 @@
         this.loop = loop;
         this.programs = new BoundedPrograms(loop, programs, log);
         this.log = log;
-        this.parts = parts;
+        this.components = parts;
         this.holder = holder;
         this.changed = changed;
         config.tasks().forEach(t -> jobs.add(new Job(t)));
     }
 
     /** How many runs were begun so far. */
-    long begun() {
-        return begun;
+    long startCount() {
+        return startCount;
     }
 
     /** How many runs ended by themselves and well. */
     long ended() {
-        return ended;
+        return successCount;
     }
 
     /** Begins nothing more, and asks what runs to end. @param done run once nothing runs, maybe within this call */
@@ -96,7 +96,7 @@
         List<Job> own = jobs.stream().filter(j -> j.task.lease().equals(lease)).toList();
         int[] left = {own.size()};
         for (Job j : own) {
-            j.next = null;
+            j.nextStart = null;
             j.paused = true;
             Runnable over = () -> {
                 if (--left[0] == 0) {
@@ -131,28 +131,28 @@
         }
         Instant due = null;
         for (Job j : jobs) {
-            if (j.running == null && holder.fence(j.task.lease()) != 0 && j.next != null && !isEnding(j.task.name())) {
-                due = due == null || j.next.isBefore(due) ? j.next : due;
+            if (j.running == null && holder.fence(j.task.lease()) != 0 && j.nextStart != null && !isEnding(j.task.name())) {
+                due = due == null || j.nextStart.isBefore(due) ? j.nextStart : due;
             }
         }
         return due;
     }
 
     /** The lease is this node's from now on. */
-    void granted(Instant now, String lease) {
+    void leaseGranted(Instant now, String lease) {
         for (Job j : jobs) {
-            if (j.task.lease().equals(lease) && !j.gone) {
-                j.next = now;
+            if (j.task.lease().equals(lease) && !j.removed) {
+                j.nextStart = now;
                 j.paused = false;
             }
         }
     }
 
     /** It is not any more: what runs is ended now, it had ended already were all as it should be. */
-    void over(String lease) {
+    void leaseEnded(String lease) {
         for (Job j : jobs) {
             if (j.task.lease().equals(lease)) {
-                j.next = null;
+                j.nextStart = null;
                 if (j.running != null) {
                     j.running.kill();
                 }
@@ -162,63 +162,63 @@
 
     void onTime(Instant now) {
         for (Job j : whenFinished != null ? List.<Job>of() : jobs) {
-            if (j.running == null && j.next != null && !now.isBefore(j.next) && !isEnding(j.task.name())) {
+            if (j.running == null && j.nextStart != null && !now.isBefore(j.nextStart) && !isEnding(j.task.name())) {
                 long fence = holder.fence(j.task.lease());
                 if (j.task.once() && !mayRunNow(now, j)) {
                     continue;
                 }
-                if (fence != 0 && parts.mayBegin(holder, now, j.task.lease(),
+                if (fence != 0 && components.mayBegin(holder, now, j.task.lease(),
                         j.task.longest().plus(j.task.allowance()))) {
                     begin(now, j, fence);
                 } else {
-                    j.next = now.plus(j.task.longest().dividedBy(4)); // after a renewal
+                    j.nextStart = now.plus(j.task.longest().dividedBy(4)); // after a renewal
                 }
             }
         }
     }
 
     private boolean isEnding(String task) {
-        return jobs.stream().anyMatch(j -> j.gone && j.task.name().equals(task));
+        return jobs.stream().anyMatch(j -> j.removed && j.task.name().equals(task));
     }
 
     private static long period(FleetConfig.Task t, Instant now) {
         return Math.floorDiv(now.toEpochMilli(), t.every().toMillis());
     }
 
-    private static Instant beginning(FleetConfig.Task t, long period) {
+    private static Instant startOfPeriod(FleetConfig.Task t, long period) {
         return Instant.ofEpochMilli(period * t.every().toMillis());
     }
 
-    /** Whether this period's run is this node's; if it is not known yet, it is asked for, and {@link #claimed} follows. */
+    /** Whether this period's run is this node's; if it is not known yet, it is asked for, and {@link #periodClaimed} follows. */
     private boolean mayRunNow(Instant now, Job j) {
         long period = period(j.task, now);
-        if (j.claimed == period && j.done < period) {
+        if (j.claimedPeriod == period && j.lastPeriodDone < period) {
             return true;
         }
-        if (j.done >= period) {
-            j.next = beginning(j.task, j.done + 1);
+        if (j.lastPeriodDone >= period) {
+            j.nextStart = startOfPeriod(j.task, j.lastPeriodDone + 1);
         } else {
             j.claiming = j.claiming || holder.claim(now, j.task.lease(), j.task.name(), j.task.every(), period);
-            j.next = j.claiming ? null : now.plus(AGAIN);
+            j.nextStart = j.claiming ? null : now.plus(RETRY_INTERVAL);
         }
         return false;
     }
 
     /** @param result null where it is not known what came of it: then the run may be this node's, and is left out */
-    void claimed(Instant now, String task, long period, Result result) {
+    void periodClaimed(Instant now, String task, long period, Result result) {
         for (Job j : jobs) {
-            if (j.task.name().equals(task) && j.claiming && !j.gone) {
+            if (j.task.name().equals(task) && j.claiming && !j.removed) {
                 j.claiming = false;
-                j.next = j.paused || holder.fence(j.task.lease()) == 0 ? null : now;
+                j.nextStart = j.paused || holder.fence(j.task.lease()) == 0 ? null : now;
                 Result.Kind kind = result == null ? null : result.kind();
                 if (kind == Result.Kind.CLAIMED) {
-                    j.claimed = period;
+                    j.claimedPeriod = period;
                 } else if (kind == Result.Kind.DONE) {
-                    j.done = Math.max(j.done, result.value());
+                    j.lastPeriodDone = Math.max(j.lastPeriodDone, result.value());
                 } else {
                     log.warn("task " + task + ": the run of period " + period + " could not be claimed"
                             + (kind == null ? "" : " (" + kind + ")"));
-                    j.next = j.next == null ? null : now.plus(AGAIN);
+                    j.nextStart = j.nextStart == null ? null : now.plus(RETRY_INTERVAL);
                 }
             }
         }
@@ -227,10 +227,10 @@
     /** Other tasks from now on: those that stay go on, those that go are asked to end. */
     void replace(Instant now, List<FleetConfig.Task> tasks) {
         for (Job j : List.copyOf(jobs)) {
-            if (!j.gone && !tasks.contains(j.task)) {
-                j.gone = j.running != null;
-                j.next = null;
-                if (j.gone) {
+            if (!j.removed && !tasks.contains(j.task)) {
+                j.removed = j.running != null;
+                j.nextStart = null;
+                if (j.removed) {
                     j.running.stop();
                 } else {
                     jobs.remove(j);
@@ -238,9 +238,9 @@
             }
         }
         for (FleetConfig.Task t : tasks) {
-            if (jobs.stream().noneMatch(j -> !j.gone && j.task.equals(t))) {
+            if (jobs.stream().noneMatch(j -> !j.removed && j.task.equals(t))) {
                 Job j = new Job(t);
-                j.next = holder.fence(t.lease()) == 0 ? null : now;
+                j.nextStart = holder.fence(t.lease()) == 0 ? null : now;
                 jobs.add(j);
             }
         }
@@ -248,10 +248,10 @@
 
     private void begin(Instant now, Job j, long fence) {
         FleetConfig.Task t = j.task;
-        j.next = now.plus(t.every());
+        j.nextStart = now.plus(t.every());
         if (t.once()) {
-            j.done = j.claimed;
-            j.next = beginning(t, j.done + 1);
+            j.lastPeriodDone = j.claimedPeriod;
+            j.nextStart = startOfPeriod(t, j.lastPeriodDone + 1);
         }
         Map<String, String> environment = new TreeMap<>();
         environment.put("FLEET_NODE", node);
@@ -259,22 +259,22 @@
         environment.put("FLEET_LEASE", t.lease());
         environment.put("FLEET_FENCE", Long.toString(fence));
         if (t.once()) {
-            environment.put("FLEET_PERIOD", Long.toString(j.claimed));
+            environment.put("FLEET_PERIOD", Long.toString(j.claimedPeriod));
         }
         environment.put("FLEET_LONGEST_MS", Long.toString(t.longest().toMillis()));
         environment.put("FLEET_END_MS", Long.toString(loop.wall().now().plus(t.longest()).toEpochMilli()));
         try {
-            begun++;
+            startCount++;
             j.running = programs.start("task " + t.name(), t.command(), environment, t.longest(), status -> ended(j, status));
         } catch (IOException e) {
             log.warn("task " + t.name() + " can't be started: " + e.getMessage());
-            j.next = now.plus(t.longest());
+            j.nextStart = now.plus(t.longest());
         }
     }
 
     private void ended(Job j, int status) {
         j.running = null;
-        if (j.gone) {
+        if (j.removed) {
             jobs.remove(j);
         }
         if (j.whenOver != null) {
@@ -282,7 +282,7 @@
             j.whenOver = null;
             over.run();
         }
-        ended += status == 0 ? 1 : 0;
+        successCount += status == 0 ? 1 : 0;
         finishIfDone();
         changed.run();
     }
--- a/src/main/java/rowanplank/fleet/Voter.java
+++ b/src/main/java/rowanplank/fleet/Voter.java
@@ -35,13 +35,13 @@
  * returned ({@link SerialExecutor}), so that none is called from within a call.
  */
 final class Voter {
-    private static final int MOST_UNDECIDED = 512;
+    private static final int MAX_UNCOMMITTED = 512;
     /** The chain of results is compared after so many entries. */
-    private static final int AUDIT_EVERY = 100;
+    private static final int AUDIT_INTERVAL_ENTRIES = 100;
     /** So old is what a node is told of its turn at the most, when it acts on it. */
-    static final Duration TURN_VALID = Duration.ofSeconds(1);
+    static final Duration TURN_VALIDITY = Duration.ofSeconds(1);
     /** A voter that lags by more entries has not caught up. */
-    private static final int CAUGHT_UP = 64;
+    private static final int MAX_CAUGHT_UP_LAG = 64;
     private static final Duration PARK = Duration.ofSeconds(1);
 
     /** What a voter sends, and whom it tells that it can't go on. */
@@ -50,64 +50,64 @@
 
         void answer(Ask ask, Ask.Answer answer);
 
-        void tell(Ask.Answer answer);
+        void deliver(Ask.Answer answer);
 
         void halt(String why);
 
         /** Whether the node is thought to live and to serve clients. */
         boolean serves(String node);
 
-        boolean lives(String node);
+        boolean isAlive(String node);
 
         Instant wall();
 
         /** The order of work as staff read it. */
-        String work();
+        String workStatusText();
 
         Instant now();
     }
 
     private final FleetConfig config;
-    private final FleetComponents parts;
-    private final SerialExecutor turns;
+    private final FleetComponents components;
+    private final SerialExecutor executor;
     /** The latest version of entries that each other voter has said it understands. */
-    private final Map<String, Integer> known = new TreeMap<>();
-    private final Environment outside;
+    private final Map<String, Integer> understoodVersions = new TreeMap<>();
+    private final Environment environment;
     private final StateFile file;
-    private final RaftNode agreement;
+    private final RaftNode raftNode;
     private final Ledger ledger;
     private final Desk desk;
     private final BudgetDesk budgets;
     /** Null where this node has no part in an order of work. */
     private final WorkDesk work;
     private int chain;
-    private long audited;
+    private long lastAuditIndex;
     /** To which level this voter, as a leader, has asked to raise the ledger's. */
-    private int raised;
+    private int proposedLevel;
 
     /** @throws IOException with one line, if the file can't be used */
     Voter(FleetConfig config, long seed, FleetComponents parts, StateFile file, SerialExecutor turns, Environment outside) throws IOException {
         this.config = config;
-        this.parts = parts;
-        this.turns = turns;
-        this.outside = outside;
+        this.components = parts;
+        this.executor = turns;
+        this.environment = outside;
         this.file = file;
         try {
             VoterFileCodec.ReadFile read = VoterFileCodec.read(file.content(), config.name(), config.node());
             file.cut(read.length());
             chain = read.chain();
             ledger = parts.ledger(LedgerCodec.snapshot(read.saved().snapshot().data()));
-            agreement = parts.agreement(new RaftNode.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
-                    EnvelopeCodec.MAX_CONTENT_BYTES, MOST_UNDECIDED, seed), read.saved(), outside.now(), new RaftActions());
+            raftNode = parts.raftNode(new RaftNode.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
+                    EnvelopeCodec.MAX_CONTENT_BYTES, MAX_UNCOMMITTED, seed), read.saved(), outside.now(), new RaftActions());
         } catch (MalformedException e) {
             throw new IOException("the state in " + config.directory() + " can't be used: " + e.getMessage(), e);
         }
         desk = parts.desk(new Desk.Settings(config.timing().drift(), config.timing().session(), PARK), ledger, new DeskActions());
         budgets = parts.budgetDesk(config.timing().drift(), ledger, new DeskActions());
-        work = config.order() == null ? null : parts.workDesk(new WorkDesk.Settings(config.timing().drift(), TURN_VALID,
+        work = config.order() == null ? null : parts.workDesk(new WorkDesk.Settings(config.timing().drift(), TURN_VALIDITY,
                 config.timing().election().multipliedBy(4), new Work.Terms(config.order().mostOut(),
                 config.order().mostOutOfHall()), bounds(config)), ledger, new DeskActions());
-        budgets.budgets(BudgetMapping.defined(config.sharing()), name -> BudgetMapping.placesOf(config.sharing(), name),
+        budgets.budgets(BudgetMapping.definitions(config.sharing()), name -> BudgetMapping.slotDefinition(config.sharing(), name),
                 name -> BudgetMapping.terms(config.sharing(), name));
     }
 
@@ -118,8 +118,8 @@
                 p == null ? null : new WorkDesk.Places(p.whole(), p.fixed(), p.nodes()), h.zone());
     }
 
-    RaftNode agreement() {
-        return agreement;
+    RaftNode raftNode() {
+        return raftNode;
     }
 
     Ledger ledger() {
@@ -131,7 +131,7 @@
     }
 
     Instant due() {
-        Instant a = agreement.due();
+        Instant a = raftNode.due();
         return earlier(earlier(a, desk.due()), earlier(budgets.due(), work == null ? null : work.due()));
     }
 
@@ -140,40 +140,40 @@
     }
 
     void onTime(Instant now) {
-        turns.run(() -> agreement.onTime(now));
-        turns.run(() -> desk.onTime(now));
-        turns.run(() -> budgets.onTime(now));
+        executor.run(() -> raftNode.onTime(now));
+        executor.run(() -> desk.onTime(now));
+        executor.run(() -> budgets.onTime(now));
         if (work != null) {
-            turns.run(() -> work.onTime(now));
+            executor.run(() -> work.onTime(now));
         }
     }
 
     void onMessage(Instant now, String from, Message message) {
-        turns.run(() -> agreement.onMessage(now, from, message));
+        executor.run(() -> raftNode.onMessage(now, from, message));
     }
 
     /** What another voter's process understands. */
-    void heardOf(String name, int knows) {
-        if (!Integer.valueOf(knows).equals(known.put(name, knows))) {
-            turns.run(this::raise);
+    void onUnderstoodVersion(String name, int knows) {
+        if (!Integer.valueOf(knows).equals(understoodVersions.put(name, knows))) {
+            executor.run(this::proposeLevel);
         }
     }
 
     /** Once all voters have said that they understand a later version, its entries may be written for good. */
-    private void raise() {
-        int all = parts.understoodVersion();
-        for (String v : agreement.voters()) {
-            all = v.equals(config.node()) ? all : Math.min(all, known.getOrDefault(v, LedgerCodec.FIRST_VERSION));
+    private void proposeLevel() {
+        int all = components.understoodVersion();
+        for (String v : raftNode.voters()) {
+            all = v.equals(config.node()) ? all : Math.min(all, understoodVersions.getOrDefault(v, LedgerCodec.FIRST_VERSION));
         }
-        if (desk.leads() && all > Math.max(raised, ledger.level())
-                && agreement.propose(outside.now(), LedgerCodec.command(new Command.Raise(all))) > 0) {
-            raised = all;
+        if (desk.leads() && all > Math.max(proposedLevel, ledger.level())
+                && raftNode.propose(environment.now(), LedgerCodec.command(new Command.Raise(all))) > 0) {
+            proposedLevel = all;
         }
     }
 
     /** @return whether it was taken: this voter leads, it is a change, and the one before it is decided */
     boolean changeVoters(Instant now, String name, boolean add) {
-        List<String> voters = new ArrayList<>(agreement.voters());
+        List<String> voters = new ArrayList<>(raftNode.voters());
         if (add ? voters.contains(name) : !voters.contains(name)) {
             return false;
         }
@@ -183,7 +183,7 @@
             voters.remove(name);
         }
         boolean[] taken = new boolean[1];
-        turns.run(() -> taken[0] = agreement.proposeVoterChange(now, voters) > 0);
+        executor.run(() -> taken[0] = raftNode.proposeVoterChange(now, voters) > 0);
         return taken[0];
     }
 
@@ -192,7 +192,7 @@
         if (!desk.leads()) {
             return false;
         }
-        turns.run(() -> {
+        executor.run(() -> {
             if (WorkDesk.isMeant(ask.what())) {
                 if (work != null) {
                     work.onAsk(now, ask);
@@ -207,19 +207,19 @@
         return true;
     }
 
-    private void halted(String what) {
-        outside.halt(what + "; this voter takes no part any more");
+    private void halt(String what) {
+        environment.halt(what + "; this voter takes no part any more");
     }
 
     private final class RaftActions implements RaftNode.Actions {
         @Override
         public void send(String to, Message message) {
-            outside.send(to, message);
+            environment.send(to, message);
         }
 
         @Override
         public void store(long number, Write write) {
-            Runnable synced = () -> turns.run(() -> agreement.onStored(outside.now(), number));
+            Runnable synced = () -> executor.run(() -> raftNode.onStored(environment.now(), number));
             if (write instanceof Write.FullState whole) {
                 VoterFileCodec.Encoded written = VoterFileCodec.replacement(config.name(), config.node(), whole);
                 chain = written.chain();
@@ -233,46 +233,46 @@
 
         @Override
         public void committed(Entry entry) {
-            turns.runLater(() -> apply(entry));
+            executor.runLater(() -> apply(entry));
         }
 
         @Override
         public void restore(Snapshot snapshot) {
-            turns.runLater(() -> {
+            executor.runLater(() -> {
                 try {
                     ledger.restore(LedgerCodec.snapshot(snapshot.data()));
                 } catch (MalformedException e) {
-                    halted("the leader's snapshot can't be used: " + e.getMessage());
+                    halt("the leader's snapshot can't be used: " + e.getMessage());
                 }
             });
         }
 
         @Override
         public void becameLeader(long term) {
-            raised = 0;
-            turns.runLater(() -> desk.onLeads(outside.now()));
-            turns.runLater(() -> budgets.onLeads(outside.now()));
+            proposedLevel = 0;
+            executor.runLater(() -> desk.onLeads(environment.now()));
+            executor.runLater(() -> budgets.onLeads(environment.now()));
             if (work != null) {
-                turns.runLater(() -> work.onLeads(outside.now()));
+                executor.runLater(() -> work.onLeads(environment.now()));
             }
-            turns.runLater(Voter.this::raise);
+            executor.runLater(Voter.this::proposeLevel);
         }
 
         @Override
         public void lostLeadership() {
-            turns.runLater(desk::onLeadsNoMore);
-            turns.runLater(budgets::onLeadsNoMore);
+            executor.runLater(desk::onLeadsNoMore);
+            executor.runLater(budgets::onLeadsNoMore);
             if (work != null) {
-                turns.runLater(work::onLeadsNoMore);
+                executor.runLater(work::onLeadsNoMore);
             }
         }
 
         @Override
         public void roundConfirmed(long round) {
-            turns.runLater(() -> desk.onConfirmed(round));
-            turns.runLater(() -> budgets.onConfirmed(round));
+            executor.runLater(() -> desk.onConfirmed(round));
+            executor.runLater(() -> budgets.onConfirmed(round));
             if (work != null) {
-                turns.runLater(() -> work.onConfirmed(round));
+                executor.runLater(() -> work.onConfirmed(round));
             }
         }
     }
@@ -282,43 +282,43 @@
             ledger.skip(entry.index());
         } else {
             try {
-                Command command = LedgerCodec.command(entry.payload(), parts.understoodVersion());
-                if (command instanceof Command.Raise r && r.level() > parts.understoodVersion()) {
+                Command command = LedgerCodec.command(entry.payload(), components.understoodVersion());
+                if (command instanceof Command.Raise r && r.level() > components.understoodVersion()) {
                     throw new MalformedException("all others know version " + r.level() + ", and this one "
-                            + parts.understoodVersion());
+                            + components.understoodVersion());
                 }
                 Result result = ledger.apply(entry.index(), command);
-                desk.onApplied(outside.now(), entry.index(), command, result);
-                budgets.onApplied(outside.now(), entry.index(), command, result);
+                desk.onApplied(environment.now(), entry.index(), command, result);
+                budgets.onApplied(environment.now(), entry.index(), command, result);
                 if (work != null) {
-                    work.onApplied(outside.now(), entry.index(), command, result);
-                    handOn(command, result);
+                    work.onApplied(environment.now(), entry.index(), command, result);
+                    transferIfDraining(command, result);
                 }
             } catch (MalformedException e) {
-                halted("entry " + entry.index() + " can't be understood: " + e.getMessage());
+                halt("entry " + entry.index() + " can't be understood: " + e.getMessage());
                 return;
             } catch (Ledger.DivergedException e) {
-                halted(e.getMessage());
+                halt(e.getMessage());
                 return;
             }
         }
-        if (ledger.applied() == agreement.commitIndex()) {
-            if (agreement.committedSinceSnapshot() >= config.timing().snapshot()) {
-                agreement.compact(LedgerCodec.snapshot(ledger.picture()));
+        if (ledger.applied() == raftNode.commitIndex()) {
+            if (raftNode.committedSinceSnapshot() >= config.timing().snapshot()) {
+                raftNode.compact(LedgerCodec.snapshot(ledger.picture()));
             }
-            if (desk.leads() && ledger.applied() - audited >= AUDIT_EVERY) {
-                audited = ledger.applied();
-                agreement.propose(outside.now(),
+            if (desk.leads() && ledger.applied() - lastAuditIndex >= AUDIT_INTERVAL_ENTRIES) {
+                lastAuditIndex = ledger.applied();
+                raftNode.propose(environment.now(),
                         LedgerCodec.command(new Command.Audit(ledger.applied(), ledger.chain())));
             }
         }
     }
 
     /** Guards a fleet without a leader for a while: one whose machine goes out hands on before it drains. */
-    private void handOn(Command command, Result result) {
+    private void transferIfDraining(Command command, Result result) {
         if (command instanceof Command.Turn t && result.kind() == Result.Kind.GRANTED && desk.leads()
                 && ledger.work().nodesOf(t.machine()).contains(config.node())) {
-            agreement.transferLeadership(outside.now());
+            raftNode.transferLeadership(environment.now());
         }
     }
 
@@ -331,7 +331,7 @@
         if (work != null && desk.leads()) {
             return work.standing();
         }
-        return agreement.leader() != null ? told : ledger.work().plan().isEmpty() ? ""
+        return raftNode.leader() != null ? told : ledger.work().plan().isEmpty() ? ""
                 : "no leader is known: no majority of the voters hears each other";
     }
 
@@ -349,7 +349,7 @@
             return "that is less than what is set aside, or too fast for its burst";
         }
         long[] index = new long[1];
-        turns.run(() -> index[0] = agreement.propose(outside.now(), LedgerCodec.command(new Command.Resize(name, whole))));
+        executor.run(() -> index[0] = raftNode.propose(environment.now(), LedgerCodec.command(new Command.Resize(name, whole))));
         return index[0] > 0 ? null : "it can't be taken now: ask again";
     }
 
@@ -361,50 +361,50 @@
 
         @Override
         public long propose(Command command) {
-            return agreement.propose(outside.now(), LedgerCodec.command(command));
+            return raftNode.propose(environment.now(), LedgerCodec.command(command));
         }
 
         @Override
         public long confirm() {
-            return agreement.confirmLeadership(outside.now());
+            return raftNode.confirmLeadership(environment.now());
         }
 
         @Override
         public void answer(Ask ask, Ask.Answer answer) {
-            outside.answer(ask, answer);
+            environment.answer(ask, answer);
         }
 
         @Override
         public void tell(Ask.Answer answer) {
-            outside.tell(answer);
+            environment.deliver(answer);
         }
 
         @Override
         public boolean serves(String node) {
-            return outside.serves(node);
+            return environment.serves(node);
         }
 
         @Override
         public boolean lives(String node) {
-            return outside.lives(node);
+            return environment.isAlive(node);
         }
 
         @Override
         public Instant wall() {
-            return outside.wall();
+            return environment.wall();
         }
 
         @Override
         public String text() {
-            return outside.work();
+            return environment.workStatusText();
         }
 
         @Override
         public boolean hasMajorityWithout(Set<String> nodes) {
-            Map<String, Long> matches = agreement.matchIndexes();
-            long left = agreement.voters().stream().filter(v -> !nodes.contains(v) && (v.equals(config.node())
-                    || outside.lives(v) && matches.containsKey(v) && agreement.lastIndex() - matches.get(v) <= CAUGHT_UP)).count();
-            return left * 2 > agreement.voters().size();
+            Map<String, Long> matches = raftNode.matchIndexes();
+            long left = raftNode.voters().stream().filter(v -> !nodes.contains(v) && (v.equals(config.node())
+                    || environment.isAlive(v) && matches.containsKey(v) && raftNode.lastIndex() - matches.get(v) <= MAX_CAUGHT_UP_LAG)).count();
+            return left * 2 > raftNode.voters().size();
         }
     }
 }
--- a/src/main/java/rowanplank/fleet/WorkerRunner.java
+++ b/src/main/java/rowanplank/fleet/WorkerRunner.java
@@ -24,17 +24,17 @@
  */
 final class WorkerRunner {
     /** What may not begin is looked at again after so long, where nothing says sooner that more may. */
-    private static final Duration AGAIN = Duration.ofMillis(250);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
 
     private static final class Copy {
         final FleetConfig.Worker worker;
-        Instant next;
+        Instant nextStart;
         Programs.Running running;
-        boolean gone;
+        boolean removed;
 
         Copy(FleetConfig.Worker worker, Instant now) {
             this.worker = worker;
-            next = now;
+            nextStart = now;
         }
     }
 
@@ -42,12 +42,12 @@
     private final Loop loop;
     private final BoundedPrograms programs;
     private final RateLimitedLog log;
-    private final FleetComponents parts;
+    private final FleetComponents components;
     private final BudgetHolder holder;
     private final Runnable changed;
     private final List<Copy> copies = new ArrayList<>();
     private Runnable whenFinished;
-    private long begun;
+    private long startCount;
 
     /** @param changed run when {@link #due} may have come nearer by itself */
     WorkerRunner(String node, Loop loop, Programs programs, RateLimitedLog log, FleetComponents parts, BudgetHolder holder,
@@ -56,13 +56,13 @@
         this.loop = loop;
         this.programs = new BoundedPrograms(loop, programs, log);
         this.log = log;
-        this.parts = parts;
+        this.components = parts;
         this.holder = holder;
         this.changed = changed;
     }
 
-    long begun() {
-        return begun;
+    long startCount() {
+        return startCount;
     }
 
     /** What of each budget these workers would use at the most. */
@@ -80,14 +80,14 @@
     /** These from now on: copies that are too many are asked to end. */
     void replace(Instant now, List<FleetConfig.Worker> workers) {
         for (FleetConfig.Worker w : workers) {
-            long there = copies.stream().filter(c -> !c.gone && c.worker.equals(w)).count();
+            long there = copies.stream().filter(c -> !c.removed && c.worker.equals(w)).count();
             for (long n = there; n < w.copies(); n++) {
                 copies.add(new Copy(w, now));
             }
         }
         for (Copy c : List.copyOf(copies)) {
-            if (!c.gone && !workers.contains(c.worker)) {
-                c.gone = true;
+            if (!c.removed && !workers.contains(c.worker)) {
+                c.removed = true;
                 if (c.running == null) {
                     copies.remove(c);
                 } else {
@@ -117,22 +117,22 @@
     Instant due() {
         Instant due = null;
         for (Copy c : whenFinished != null ? List.<Copy>of() : copies) {
-            if (c.running == null && !c.gone) {
-                due = due == null || c.next.isBefore(due) ? c.next : due;
+            if (c.running == null && !c.removed) {
+                due = due == null || c.nextStart.isBefore(due) ? c.nextStart : due;
             }
         }
         return due;
     }
 
     /** More may begin of a budget than before. */
-    void more(Instant now, String budget) {
-        copies.stream().filter(c -> c.running == null && c.worker.budget().equals(budget) && c.next.isAfter(now)
-                && c.next.isBefore(now.plus(AGAIN))).forEach(c -> c.next = now);
+    void onBudgetIncreased(Instant now, String budget) {
+        copies.stream().filter(c -> c.running == null && c.worker.budget().equals(budget) && c.nextStart.isAfter(now)
+                && c.nextStart.isBefore(now.plus(RETRY_INTERVAL))).forEach(c -> c.nextStart = now);
     }
 
     void onTime(Instant now) {
         for (Copy c : whenFinished != null ? List.<Copy>of() : List.copyOf(copies)) {
-            if (c.running == null && !c.gone && !now.isBefore(c.next)) {
+            if (c.running == null && !c.removed && !now.isBefore(c.nextStart)) {
                 begin(now, c);
             }
         }
@@ -140,11 +140,11 @@
 
     private void begin(Instant now, Copy c) {
         FleetConfig.Worker w = c.worker;
-        long epoch = parts.begin(holder, now, w.budget());
+        long epoch = components.beginUse(holder, now, w.budget());
         if (epoch < 0) {
             Instant ready = holder.ready(now, w.budget());
-            Instant again = now.plus(AGAIN);
-            c.next = ready != null && ready.isBefore(again) ? ready : again;
+            Instant again = now.plus(RETRY_INTERVAL);
+            c.nextStart = ready != null && ready.isBefore(again) ? ready : again;
             return;
         }
         Map<String, String> environment = new TreeMap<>();
@@ -154,21 +154,21 @@
         environment.put("FLEET_EPOCH", Long.toString(epoch));
         environment.put("FLEET_LONGEST_MS", Long.toString(w.longest().toMillis()));
         try {
-            begun++;
+            startCount++;
             c.running = programs.start("worker " + w.name(), w.command(), environment, w.longest(), status -> ended(c));
         } catch (IOException e) {
             log.warn("worker " + w.name() + " can't be started: " + e.getMessage());
             holder.end(w.budget());
-            c.next = now.plus(w.longest());
+            c.nextStart = now.plus(w.longest());
         }
     }
 
     private void ended(Copy c) {
         Instant now = loop.clock().now();
         c.running = null;
-        c.next = now.plus(c.worker.pause());
+        c.nextStart = now.plus(c.worker.pause());
         holder.end(c.worker.budget());
-        if (c.gone) {
+        if (c.removed) {
             copies.remove(c);
         }
         finishIfDone();
--- a/src/main/java/rowanplank/lab/trial/BudgetPlants.java
+++ b/src/main/java/rowanplank/lab/trial/BudgetPlants.java
@@ -89,9 +89,9 @@
             case "parts-never-lapse" -> waits((ledger, m) -> Duration.ofHours(1));
             case "parts-no-wait", "parts-unconfirmed" -> new FleetComponents() {
                 @Override
-                public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
-                    return name.equals("parts-no-wait") ? super.agreement(settings, saved, now, actions)
-                            : Plants.parts("unconfirmed-renewal").agreement(settings, saved, now, actions);
+                public RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+                    return name.equals("parts-no-wait") ? super.raftNode(settings, saved, now, actions)
+                            : Plants.parts("unconfirmed-renewal").raftNode(settings, saved, now, actions);
                 }
 
                 @Override
--- a/src/main/java/rowanplank/lab/trial/Plants.java
+++ b/src/main/java/rowanplank/lab/trial/Plants.java
@@ -54,7 +54,7 @@
         return switch (name) {
             case "counted-from-answer" -> new FleetComponents() {
                 @Override
-                public LeaseHolder holder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
+                public LeaseHolder leaseHolder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
                     return new LeaseHolder(settings, now, actions) {
                         @Override
                         protected Instant endOf(Instant asked, Instant answered, Duration length, Instant before) {
@@ -88,7 +88,7 @@
             };
             case "vote-forgotten" -> new FleetComponents() {
                 @Override
-                public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
+                public RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now,
                         RaftNode.Actions actions) {
                     return new RaftNode(settings, new PersistentState(0, null, saved.snapshot(), saved.entries()), now, actions);
                 }
@@ -96,7 +96,7 @@
             case "any-log-will-do", "older-terms-count", "unconfirmed-renewal", "half-is-enough", "no-log-check" ->
                     new FleetComponents() {
                         @Override
-                        public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now,
+                        public RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now,
                                 RaftNode.Actions actions) {
                             return new WrongAgreement(name, settings, saved, now, actions);
                         }
--- a/src/main/java/rowanplank/lab/trial/SameParts.java
+++ b/src/main/java/rowanplank/lab/trial/SameParts.java
@@ -27,8 +27,8 @@
     static FleetComponents withMessages(FleetComponents parts, int mostBytes) {
         return new SameParts(parts) {
             @Override
-            public RaftNode agreement(RaftNode.Settings s, PersistentState saved, Instant now, RaftNode.Actions actions) {
-                return super.agreement(new RaftNode.Settings(s.self(), s.electionTimeout(), s.heartbeatInterval(), mostBytes,
+            public RaftNode raftNode(RaftNode.Settings s, PersistentState saved, Instant now, RaftNode.Actions actions) {
+                return super.raftNode(new RaftNode.Settings(s.self(), s.electionTimeout(), s.heartbeatInterval(), mostBytes,
                         s.maxUncommitted(), s.seed()), saved, now, actions);
             }
         };
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public long begin(BudgetHolder holder, Instant now, String budget) {
-        return parts.begin(holder, now, budget);
+    public long beginUse(BudgetHolder holder, Instant now, String budget) {
+        return parts.beginUse(holder, now, budget);
     }
 
     @Override
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
-        return parts.agreement(settings, saved, now, actions);
+    public RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+        return parts.raftNode(settings, saved, now, actions);
     }
 
     @Override
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public LeaseHolder holder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
-        return parts.holder(settings, now, actions);
+    public LeaseHolder leaseHolder(LeaseHolder.Settings settings, Instant now, LeaseHolder.Actions actions) {
+        return parts.leaseHolder(settings, now, actions);
     }
 
     @Override
--- a/src/main/java/rowanplank/lab/trial/StandInParts.java
+++ b/src/main/java/rowanplank/lab/trial/StandInParts.java
@@ -52,8 +52,8 @@
     }
 
     @Override
-    public long begin(BudgetHolder holder, Instant now, String budget) {
-        long epoch = super.begin(holder, now, budget);
+    public long beginUse(BudgetHolder holder, Instant now, String budget) {
+        long epoch = super.beginUse(holder, now, budget);
         if (epoch >= 0) {
             standStill(hold, held);
         }
--- a/src/main/java/rowanplank/lab/trial/VirtualFleet.java
+++ b/src/main/java/rowanplank/lab/trial/VirtualFleet.java
@@ -122,7 +122,7 @@
             if (servers == 0) {
                 return;
             }
-            loop.execute(() -> fleet.places().updateServers(IntStream.rangeClosed(1, servers).mapToObj(s -> new BalancerApi.Server(s, 0, 0,
+            loop.execute(() -> fleet.slots().updateServers(IntStream.rangeClosed(1, servers).mapToObj(s -> new BalancerApi.Server(s, 0, 0,
                     BalancerApi.Lifecycle.READY, 1, 0)).toList(), true, SITE));
             for (int s = 1; s <= servers; s++) {
                 long server = s;
@@ -131,8 +131,8 @@
         }
 
         private void used(long server) {
-            if (fleet.places().limit(server) > 0 && fleet.places().tryAcquire(server, 1)) {
-                loop.schedule(USED_FOR, () -> fleet.places().release(server, true));
+            if (fleet.slots().limit(server) > 0 && fleet.slots().tryAcquire(server, 1)) {
+                loop.schedule(USED_FOR, () -> fleet.slots().release(server, true));
             }
             loop.schedule(USED_EACH, () -> used(server));
         }
@@ -204,7 +204,7 @@
 
     /** @param state what is on its disk; null where it has none */
     Node start(FleetConfig config, byte[] state) {
-        return start(config, state, FleetNode.Clients.servedBy(() -> true));
+        return start(config, state, FleetNode.Clients.withReadyCheck(() -> true));
     }
 
     Node start(FleetConfig config, byte[] state, FleetNode.Clients clients) {
--- a/src/main/java/rowanplank/lab/trial/WorkPlay.java
+++ b/src/main/java/rowanplank/lab/trial/WorkPlay.java
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public Ask.Service answered() {
+        public Ask.Service serviceCounts() {
             return new Ask.Service(served, 0, failed, open, 0, 0);
         }
 
--- a/src/main/java/rowanplank/node/Node.java
+++ b/src/main/java/rowanplank/node/Node.java
@@ -130,7 +130,7 @@
     public void join(FleetNode part) {
         fleet = part;
         part.setClients(new ClientsOfTheFleet());
-        decisions.useFleetLimits(part.places(), part.bounds());
+        decisions.useFleetLimits(part.slots(), part.bounds());
         bounds = part.bounds();
         watch.bound(bounds);
     }
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public Ask.Service answered() {
+        public Ask.Service serviceCounts() {
             return new Ask.Service(counters.get(Count.ANSWERS_SERVED),
                     counters.get(Count.ANSWERS_REJECTED) + counters.get(Count.REQUESTS_TURNED_AWAY),
                     counters.get(Count.ANSWERS_FAILED), life.requests(), 0, 0);
--- a/src/test/java/rowanplank/fleet/TaskRunnerTest.java
+++ b/src/test/java/rowanplank/fleet/TaskRunnerTest.java
@@ -87,7 +87,7 @@
         };
         tasks = new TaskRunner(config, loop, (command, given, told) -> start(given, told),
                 new RateLimitedLog(loop.clock(), RateLimitedLog.Sink.system()), new FleetComponents(), holder, () -> { });
-        tasks.granted(loop.clock().now(), "nightly");
+        tasks.leaseGranted(loop.clock().now(), "nightly");
         pass(0);
     }
 
@@ -138,15 +138,15 @@
         granted(Duration.ofSeconds(4), true);
         pass(300);
         assertEquals(List.of(), done, "nothing is begun before it is claimed");
-        tasks.claimed(loop.clock().now(), "stamp", 0, null);
+        tasks.periodClaimed(loop.clock().now(), "stamp", 0, null);
         pass(300);
         assertEquals(List.of(0L, 0L), claims, "what is not known is asked for again");
-        tasks.claimed(loop.clock().now(), "stamp", 0, Result.of(Result.Kind.DONE, 0));
+        tasks.periodClaimed(loop.clock().now(), "stamp", 0, Result.of(Result.Kind.DONE, 0));
         pass(2900);
         assertEquals(List.of(), done, "it may have run");
         pass(500);
         assertEquals(List.of(0L, 0L, 1L), claims);
-        tasks.claimed(loop.clock().now(), "stamp", 1, Result.of(Result.Kind.CLAIMED, 1));
+        tasks.periodClaimed(loop.clock().now(), "stamp", 1, Result.of(Result.Kind.CLAIMED, 1));
         pass(100);
         assertTrue(done.size() == 1 && environment.get("FLEET_PERIOD").equals("1"), done::toString);
         ended.get(0).accept(1);
--- a/src/test/java/rowanplank/measure/HollowFleet.java
+++ b/src/test/java/rowanplank/measure/HollowFleet.java
@@ -126,7 +126,7 @@
         };
         node.fleet = new FleetNode(config(n), ++incarnations, new FleetComponents(), new FleetNode.Platform(node.loop, node.disk,
                 (directory, file, content, outdated, done) -> { }, programs, log));
-        node.fleet.setClients(FleetNode.Clients.servedBy(() -> true));
+        node.fleet.setClients(FleetNode.Clients.withReadyCheck(() -> true));
         node.loop.execute(() -> {
             try {
                 node.fleet.start();
