--- a/src/main/java/routerfleet/control/ControlNode.java
+++ b/src/main/java/routerfleet/control/ControlNode.java
@@ -124,7 +124,7 @@
     public void stop() {
         long mostMs = (long) (settings.bounds().graceS() * SECOND_MS * LEAVE_PART);
         CountDownLatch left = new CountDownLatch(1);
-        loop.execute(() -> service.leave(left::countDown, mostMs));
+        loop.execute(() -> service.prepareToStop(left::countDown, mostMs));
         try {
             left.await(mostMs + STOP_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -256,7 +256,7 @@
      * @param done run once it may stop
      * @param mostMs how long that may take
      */
-    void leave(Runnable done, long mostMs) {
+    void prepareToStop(Runnable done, long mostMs) {
         replicas.handOver();
         leaveUntil(scheduler.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs), done);
     }
@@ -360,7 +360,7 @@
                 replicas.received(replication.from(), replication.message());
             }
         } else if (message instanceof PeerMessage.Poll poll) {
-            dataPlane.poll(link, poll);
+            dataPlane.receivedPoll(link, poll);
         } else if (message instanceof PeerMessage.QuotaAsk ask) {
             link.send(grant(ask));
         } else if (message instanceof PeerMessage.Sessions told) {
@@ -382,7 +382,7 @@
         } else if (message instanceof PeerMessage.ConfigRequest request) {
             dataPlane.sendConfiguration(link, request.knownGeneration());
         } else if (message instanceof PeerMessage.DataHello hello) {
-            dataPlane.hello(link, hello);
+            dataPlane.receivedHello(link, hello);
         } else if (message instanceof PeerMessage.Leaving) {
             peers.leaving(link);
         } else if (message instanceof PeerMessage.ControlHello hello) {
--- a/src/main/java/routerfleet/control/DataNodeService.java
+++ b/src/main/java/routerfleet/control/DataNodeService.java
@@ -45,7 +45,7 @@
         return scheduler.nanoTime() - warmUntilNanos < 0;
     }
 
-    void hello(PeerLink link, PeerMessage.DataHello hello) {
+    void receivedHello(PeerLink link, PeerMessage.DataHello hello) {
         DataNodeConnections.Connection session = nodes.open(link, hello.ip());
         boolean known = hello.epoch() == epoch && hello.revision() <= table.revision();
         session.sentRevision = known ? hello.revision() : 0;
@@ -59,7 +59,7 @@
         flush(session);
     }
 
-    void poll(PeerLink link, PeerMessage.Poll poll) {
+    void receivedPoll(PeerLink link, PeerMessage.Poll poll) {
         DataNodeConnections.Connection session = nodes.find(link);
         if (session == null) {
             return;
--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -135,7 +135,7 @@
      * @param cutNanos when the way is cut, after the follower is called
      * @return whether the zone is evacuated in the end
      */
-    boolean evacuatedAfterHeldUp(List<Boolean> earlier, boolean heldUp, List<Boolean> later, long cutNanos) {
+    boolean evacuatedAfterDelayedRequest(List<Boolean> earlier, boolean heldUp, List<Boolean> later, long cutNanos) {
         begin();
         world.runUntilMs(2_500);
         SimulatedMachine leader = machines.stream().filter(m -> m.service().group().leads()).findFirst().orElseThrow();
--- a/src/test/java/routerfleet/control/EvacuationSimulationTest.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulationTest.java
@@ -41,7 +41,7 @@
         int undone = 0;
         for (long nanos = 3_000_000; nanos <= 9_000_000; nanos += 250_000) {
             EvacuationSimulation play = new EvacuationSimulation(nanos, fault);
-            if (play.evacuatedAfterHeldUp(earlier, heldUp, later, nanos) == heldUp) {
+            if (play.evacuatedAfterDelayedRequest(earlier, heldUp, later, nanos) == heldUp) {
                 undone++;
             }
         }
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -220,7 +220,7 @@
     private void stop(SimulatedMachine machine) {
         if (machine.isUp() && machine.service() != null) {
             SimulatedMachine stopping = machine;
-            machine.process().execute(() -> stopping.service().leave(() -> world.after(0, () -> kill(stopping)), LEAVE_MS));
+            machine.process().execute(() -> stopping.service().prepareToStop(() -> world.after(0, () -> kill(stopping)), LEAVE_MS));
         }
     }
 
@@ -259,7 +259,7 @@
                 }
             });
             if (machine.isUp() && machine.service() != null && !over) {
-                machine.process().execute(() -> machine.service().leave(remove, LEAVE_MS));
+                machine.process().execute(() -> machine.service().prepareToStop(remove, LEAVE_MS));
                 world.afterMs(LEAVE_MS + 1_000, remove);
             } else if (!over) {
                 remove.run();
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -114,7 +114,7 @@
         return nodes.get(index).disk;
     }
 
-    void diskHangs(int index, boolean hangs) {
+    void setDiskHanging(int index, boolean hangs) {
         nodes.get(index).writer.hang(hangs);
     }
 
--- a/src/test/java/routerfleet/control/TallyPartitionTest.java
+++ b/src/test/java/routerfleet/control/TallyPartitionTest.java
@@ -147,7 +147,7 @@
     @Test
     void aDiskThatHangsRefusesWhatComesThen() {
         TallyCluster cluster = cluster(8);
-        cluster.diskHangs(0, true);
+        cluster.setDiskHanging(0, true);
         int first = cluster.add(0, "u", 7);
         int second = cluster.add(0, "v", 5);
         cluster.advance(150);
@@ -156,7 +156,7 @@
         assertThat(cluster.status(third), is(503));
         cluster.advance(900);
         assertThat(cluster.status(first), is(504));
-        cluster.diskHangs(0, false);
+        cluster.setDiskHanging(0, false);
         cluster.advance(MERGE_MS);
         assertTotalEverywhere(cluster, 7);
     }
