--- a/src/main/java/routerfleet/control/AppliedEntries.java
+++ b/src/main/java/routerfleet/control/AppliedIndex.java
@@ -9,7 +9,7 @@
  *
  * <p>Bound: {@value #MOST_WAITING} tasks that wait; further ones are not run, as if what they came from were lost.
  */
-final class AppliedEntries {
+final class AppliedIndex {
     private static final int MOST_WAITING = 4_096;
 
     private final TreeMap<Long, List<Runnable>> waiters = new TreeMap<>();
@@ -17,17 +17,17 @@
     private long last;
 
     /** The index of the last entry that is applied. */
-    long last() {
+    long index() {
         return last;
     }
 
-    /** The state machine is as that entry leaves it. Who waited for it hears of it by {@link #wake}. */
-    void reached(long index) {
+    /** The state machine is as that entry leaves it. Who waited for it hears of it by {@link #runApplied}. */
+    void advanceTo(long index) {
         last = index;
     }
 
     /** Runs a task once that entry is applied. */
-    void whenReached(long index, Runnable task) {
+    void whenApplied(long index, Runnable task) {
         if (last >= index) {
             task.run();
         } else if (waiting < MOST_WAITING) {
@@ -37,7 +37,7 @@
     }
 
     /** Runs the tasks whose entries are applied. */
-    void wake() {
+    void runApplied() {
         while (!waiters.isEmpty() && waiters.firstKey() <= last) {
             List<Runnable> reached = waiters.pollFirstEntry().getValue();
             waiting -= reached.size();
@@ -46,7 +46,7 @@
     }
 
     /** Nothing more is applied here: who waits is not told. */
-    void giveUp() {
+    void discardWaiters() {
         waiters.clear();
         waiting = 0;
     }
--- a/src/main/java/routerfleet/control/CommittedMessages.java
+++ b/src/main/java/routerfleet/control/CommittedConfigMessages.java
@@ -6,20 +6,20 @@
 import routerfleet.wire.PeerMessage;
 
 /** The newest configuration that is known to be committed, as data nodes get it: encoded once for all of them. */
-final class CommittedMessages {
+final class CommittedConfigMessages {
     private final PeerCodec codec;
     private final ConfigStore store;
     private PeerMessage.CommittedConfig whole;
     private PeerMessage.CommittedDelta delta;
 
     /** @param store the state that decided orders have led to */
-    CommittedMessages(PeerCodec codec, ConfigStore store) {
+    CommittedConfigMessages(PeerCodec codec, ConfigStore store) {
         this.codec = codec;
         this.store = store;
     }
 
     /** All of it. */
-    PeerMessage.CommittedConfig whole() {
+    PeerMessage.CommittedConfig full() {
         if (whole == null || whole.generation() != store.generation()) {
             whole = new PeerMessage.CommittedConfig(store.generation(), codec.encode(store.configuration()));
         }
--- a/src/main/java/routerfleet/control/ConfigUpdateRouter.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateRouter.java
@@ -65,8 +65,8 @@
         if (!waiting.containsKey(id)) {
             return; // answered, or out of time
         }
-        if (group.leads()) {
-            group.order(order, result -> receiveReply(reply(id, result)));
+        if (group.isLeader()) {
+            group.submit(order, result -> receiveReply(reply(id, result)));
         } else if (group.leader() == null || group.leader().equals(replica)
                 || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.OrderRequest(id, order))) {
             scheduler.schedule(() -> route(id, order), LEADER_WAIT_MS, TimeUnit.MILLISECONDS);
@@ -75,7 +75,7 @@
 
     /** Another node has sent an order on, to this one as the leader. */
     void receiveForwarded(PeerLink link, PeerMessage.OrderRequest request) {
-        group.order(request.order(), result -> link.send(reply(request.id(), result)));
+        group.submit(request.order(), result -> link.send(reply(request.id(), result)));
     }
 
     /** The leader has answered. */
--- a/src/main/java/routerfleet/control/ControlNode.java
+++ b/src/main/java/routerfleet/control/ControlNode.java
@@ -57,7 +57,7 @@
         storage = new ReplicaStorage(settings.dataPath(), loop);
         service = new ControlService(settings, new EventLoopScheduler(loop), new NettyPeerNetwork(group, loop, codec),
                 codec, storage, new SplittableRandom(HashMix.of(settings.ip()) ^ System.nanoTime()),
-                new ControlParts(settings.toleratedHosts(), settings.toleratedZones(), examiners));
+                new ControlServiceFactory(settings.toleratedHosts(), settings.toleratedZones(), examiners));
     }
 
     /** Reads the disk, then listens. @throws IOException if the disk can't be read or an address is taken */
--- a/src/main/java/routerfleet/control/ControlPeers.java
+++ b/src/main/java/routerfleet/control/ControlPeers.java
@@ -48,7 +48,7 @@
     }
 
     /** Learns that a control node may be there. */
-    void learn(String ip, long nowNanos) {
+    void add(String ip, long nowNanos) {
         if (!ip.equals(selfIp) && known.size() < MOST_PEERS && known.add(ip)) {
             lastHeardNanos.putIfAbsent(ip, nowNanos);
             dialer.want(new HostPort(ip, port));
@@ -57,7 +57,7 @@
     }
 
     /** Gives up nodes that have been gone for long. @param kept addresses that are called whatever happens */
-    void forget(Set<String> kept, long nowNanos) {
+    void removeStale(Set<String> kept, long nowNanos) {
         for (String ip : List.copyOf(known)) {
             boolean old = nowNanos - lastHeardNanos.getOrDefault(ip, nowNanos) > TimeUnit.MILLISECONDS.toNanos(FORGET_MS);
             if (old && !kept.contains(ip) && !outgoing.containsKey(ip)) {
@@ -91,7 +91,7 @@
      * @param holders addresses, of which this node's may be one
      * @param selfZone this node's own zone
      */
-    boolean span(Set<String> holders, String selfZone, int zonesWanted) {
+    boolean spanZones(Set<String> holders, String selfZone, int zonesWanted) {
         Set<String> all = new TreeSet<>(zones.values());
         all.add(selfZone);
         Set<String> held = new TreeSet<>();
@@ -116,19 +116,19 @@
         outgoing.remove(ip, link);
     }
 
-    void introduced(PeerLink link, PeerMessage.ControlHello hello, long nowNanos) {
+    void onHello(PeerLink link, PeerMessage.ControlHello hello, long nowNanos) {
         forgetEarlierLives(hello);
         incoming.put(link, new Peer(hello.ip(), hello.zone(), hello.replica(), false));
-        learn(hello.ip(), nowNanos);
+        add(hello.ip(), nowNanos);
         if (known.contains(hello.ip())) {
             zones.put(hello.ip(), hello.zone());
         }
-        hello.controlNodes().forEach(ip -> learn(ip, nowNanos));
+        hello.controlNodes().forEach(ip -> add(ip, nowNanos));
         dialer.callNow(new HostPort(hello.ip(), port));
     }
 
     /** Addresses of the other control nodes with connections in both directions. */
-    Set<String> reached() {
+    Set<String> connectedBothWays() {
         Set<String> both = new TreeSet<>();
         incoming.values().forEach(peer -> both.add(peer.ip()));
         both.retainAll(outgoing.keySet());
@@ -146,7 +146,7 @@
     }
 
     /** A node has said that it is about to stop; so until its connection ends, which is before it comes back. */
-    void leaving(PeerLink link) {
+    void markLeaving(PeerLink link) {
         incoming.computeIfPresent(link, (l, peer) -> new Peer(peer.ip(), peer.zone(), peer.replica(), true));
     }
 
@@ -158,7 +158,7 @@
     }
 
     /** Who has opened a connection; null where it has not introduced itself as a control node. */
-    Peer find(PeerLink link) {
+    Peer peerOf(PeerLink link) {
         return incoming.get(link);
     }
 
@@ -168,15 +168,15 @@
      * @param selfZone this node's own zone
      * @param holdsAll whether a replica holds all that is decided
      */
-    ReplicaPlanner.Presence presence(String selfZone, long nowNanos, Predicate<String> holdsAll) {
-        return new ReplicaPlanner.Presence() {
+    ReplicaPlanner.ClusterView clusterView(String selfZone, long nowNanos, Predicate<String> holdsAll) {
+        return new ReplicaPlanner.ClusterView() {
             @Override
-            public List<String> replicas() {
+            public List<String> connectedReplicas() {
                 return incoming.values().stream().map(Peer::replica).toList();
             }
 
             @Override
-            public boolean holdsAll(String replica) {
+            public boolean isCaughtUp(String replica) {
                 return holdsAll.test(replica);
             }
 
@@ -191,7 +191,7 @@
             }
 
             @Override
-            public long absentMs(String ip) {
+            public long disconnectedMs(String ip) {
                 return ControlPeers.this.absentMs(ip, nowNanos);
             }
         };
@@ -222,7 +222,7 @@
     }
 
     /** Whether a connected control node is none of these replicas, and so may take the place of one. */
-    boolean hasNewcomer(List<String> replicas) {
+    boolean hasLearner(List<String> replicas) {
         return incoming.values().stream().anyMatch(peer -> !replicas.contains(peer.replica()));
     }
 
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -56,7 +56,7 @@
     private final PeerCodec codec;
     private final ReplicaStorage storage;
     private final RandomGenerator random;
-    private final ControlParts parts;
+    private final ControlServiceFactory parts;
     private final ControlPeers peers;
     private final DataNodeConnections dataNodes = new DataNodeConnections();
     private final QuotaGrantor quotas;
@@ -66,7 +66,7 @@
     private String replica;
     private ReplicaGroup replicas;
     private ReplicaPlanner planner;
-    private Freshness freshness;
+    private FreshnessTracker freshness;
     private SessionService sessions;
     private DataNodeService dataPlane;
     private ConfigUpdateRouter orders;
@@ -79,7 +79,7 @@
 
     /** @param settings with a folder on disk */
     ControlService(LocalSettings settings, Scheduler scheduler, PeerNetwork network, PeerCodec codec,
-            ReplicaStorage storage, RandomGenerator random, ControlParts parts) {
+            ReplicaStorage storage, RandomGenerator random, ControlServiceFactory parts) {
         this.parts = parts;
         this.settings = settings;
         this.scheduler = scheduler;
@@ -105,24 +105,24 @@
         hints = storage.sessionHints(codec);
         earlierSessions = hints.read();
         loadReplica(numbers);
-        tallies.load(ReplicaNames.number(replica));
+        tallies.load(ReplicaNames.incarnation(replica));
     }
 
     private void loadReplica(LongSupplier numbers) throws IOException {
-        ReplicaStorage.Opened opened = storage.open();
+        ReplicaStorage.StoredReplica opened = storage.open();
         if (opened != null) {
             replica = opened.replica();
             saved = opened.saved();
             storage.start(replica, null);
             return;
         }
-        List<String> founders = settings.seeds().stream().map(seed -> ReplicaNames.founder(seed.host())).toList();
-        if (settings.bootstrap() && founders.contains(ReplicaNames.founder(settings.ip()))) {
-            replica = ReplicaNames.founder(settings.ip());
+        List<String> founders = settings.seeds().stream().map(seed -> ReplicaNames.initial(seed.host())).toList();
+        if (settings.bootstrap() && founders.contains(ReplicaNames.initial(settings.ip()))) {
+            replica = ReplicaNames.initial(settings.ip());
             saved = PersistentState.initial(founders);
-            storage.found(replica, saved);
+            storage.storeInitial(replica, saved);
         } else {
-            replica = parts.freshReplica(settings.ip(), numbers.getAsLong());
+            replica = parts.replacementReplicaName(settings.ip(), numbers.getAsLong());
             saved = PersistentState.initial(List.of());
             storage.start(replica, saved);
         }
@@ -165,8 +165,8 @@
     }
 
     private boolean promiseIsHeld(Set<String> holders) {
-        return holders.size() > parts.copiesElsewhere()
-                && peers.span(holders, settings.zone(), settings.toleratedZones() + 1);
+        return holders.size() > parts.requiredRemoteCopies()
+                && peers.spanZones(holders, settings.zone(), settings.toleratedZones() + 1);
     }
 
     private void keepSessions() {
@@ -239,8 +239,8 @@
     }
 
     private void learnSeeds() {
-        seeds.forEach(seed -> peers.learn(seed.host(), scheduler.nanoTime()));
-        replicas.voters().forEach(voter -> peers.learn(ReplicaNames.ip(voter), scheduler.nanoTime()));
+        seeds.forEach(seed -> peers.add(seed.host(), scheduler.nanoTime()));
+        replicas.voters().forEach(voter -> peers.add(ReplicaNames.ip(voter), scheduler.nanoTime()));
     }
 
     /** Takes new seeds. */
@@ -257,18 +257,18 @@
      * @param mostMs how long that may take
      */
     void prepareToStop(Runnable done, long mostMs) {
-        replicas.handOver();
+        replicas.transferLeadership();
         leaveUntil(scheduler.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs), done);
     }
 
     private void leaveUntil(long endNanos, Runnable done) {
-        boolean awaitsSuccessor = replicas.isVoter() && peers.hasNewcomer(replicas.voters());
+        boolean awaitsSuccessor = replicas.isVoter() && peers.hasLearner(replicas.voters());
         if (!awaitsSuccessor || scheduler.nanoTime() - endNanos >= 0) {
             done.run();
             return;
         }
-        if (replicas.leads()) {
-            replicas.handOver();
+        if (replicas.isLeader()) {
+            replicas.transferLeadership();
         }
         peers.sendToAll(new PeerMessage.Leaving(replica));
         scheduler.schedule(() -> leaveUntil(endNanos, done), LEAVE_CHECK_MS, TimeUnit.MILLISECONDS);
@@ -283,17 +283,17 @@
         Set<String> kept = new TreeSet<>();
         seeds.forEach(seed -> kept.add(seed.host()));
         replicas.voters().forEach(voter -> kept.add(ReplicaNames.ip(voter)));
-        peers.forget(kept, now);
-        replicas.watchDisk();
-        if (replicas.leads()) {
-            reconcileReplicas(peers.presence(settings.zone(), now, replicas::holdsAll));
+        peers.removeStale(kept, now);
+        replicas.handOverIfDiskStalled();
+        if (replicas.isLeader()) {
+            reconcileReplicas(peers.clusterView(settings.zone(), now, replicas::isCaughtUp));
         }
     }
 
-    private void reconcileReplicas(ReplicaPlanner.Presence presence) {
-        replicas.learners(ReplicaPlanner.newcomers(replicas.voters(), presence));
-        if (replicas.votersAreDecided()) {
-            List<String> wanted = planner.next(replicas.voters(), presence);
+    private void reconcileReplicas(ReplicaPlanner.ClusterView presence) {
+        replicas.setLearners(ReplicaPlanner.learners(replicas.voters(), presence));
+        if (replicas.areVotersCommitted()) {
+            List<String> wanted = planner.planMembers(replicas.voters(), presence);
             if (!wanted.equals(replicas.voters())) {
                 replicas.changeVoters(wanted);
             }
@@ -357,7 +357,7 @@
     private void received(PeerLink link, PeerMessage message) {
         if (message instanceof PeerMessage.Replication replication) {
             if (replication.to().equals(replica)) {
-                replicas.received(replication.from(), replication.message());
+                replicas.onMessage(replication.from(), replication.message());
             }
         } else if (message instanceof PeerMessage.Poll poll) {
             dataPlane.receivedPoll(link, poll);
@@ -368,9 +368,9 @@
         } else if (message instanceof PeerMessage.SessionsDigest digest) {
             reconcileSessions(link, digest);
         } else if (message instanceof PeerMessage.ReadIndexRequest request) {
-            freshness.answer(link, request.id());
+            freshness.answerReadIndex(link, request.id());
         } else if (message instanceof PeerMessage.ReadIndexReply reply) {
-            freshness.answered(reply);
+            freshness.onReadIndexReply(reply);
         } else if (message instanceof PeerMessage.OrderRequest request) {
             orders.receiveForwarded(link, request);
         } else if (message instanceof PeerMessage.OrderReply reply) {
@@ -384,11 +384,11 @@
         } else if (message instanceof PeerMessage.DataHello hello) {
             dataPlane.receivedHello(link, hello);
         } else if (message instanceof PeerMessage.Leaving) {
-            peers.leaving(link);
+            peers.markLeaving(link);
         } else if (message instanceof PeerMessage.ControlHello hello) {
             link.timing(LinkTiming.CONTROL);
-            peers.introduced(link, hello, scheduler.nanoTime());
-            replicas.reachable(peers.reached());
+            peers.onHello(link, hello, scheduler.nanoTime());
+            replicas.setReachable(peers.connectedBothWays());
             tallies.connectionsChanged();
         } else {
             receivedOfTallies(link, message);
@@ -408,13 +408,13 @@
     }
 
     private void reconcileSessions(PeerLink link, PeerMessage.SessionsDigest digest) {
-        ControlPeers.Peer peer = peers.find(link);
+        ControlPeers.Peer peer = peers.peerOf(link);
         if (peer != null) {
             sessions.reconcileWith(peer.ip(), digest.digest());
         }
     }
 
-    private final class GroupSurroundings implements ReplicaGroup.Surroundings {
+    private final class GroupSurroundings implements ReplicaGroup.Environment {
         @Override
         public void send(String to, Message message) {
             peers.send(ReplicaNames.ip(to), new PeerMessage.Replication(replica, to, message));
@@ -455,8 +455,8 @@
                     peers.known()));
             peers.outgoingOpened(ip, link);
             link.send(new PeerMessage.Sessions(0, table.records()));
-            replicas.reconnected(ip);
-            replicas.reachable(peers.reached());
+            replicas.onReconnected(ip);
+            replicas.setReachable(peers.connectedBothWays());
             tallies.connected(link);
         }
 
--- a/src/main/java/routerfleet/control/ControlParts.java
+++ b/src/main/java/routerfleet/control/ControlServiceFactory.java
@@ -9,7 +9,7 @@
 import routerfleet.wire.Scheduler;
 
 /** Makes the parts of a control service that decide something; simulations put faulty ones in their place. */
-class ControlParts {
+class ControlServiceFactory {
     /** How many control nodes may be lost at once, with their disks. */
     protected final int toleratedHosts;
     /** How many zones may be. */
@@ -17,18 +17,18 @@
     private final Executor examiners;
 
     /** With orders examined on the replica's own thread, as simulations need it. */
-    ControlParts(int toleratedHosts) {
+    ControlServiceFactory(int toleratedHosts) {
         this(toleratedHosts, 0, Runnable::run);
     }
 
     /** @param examiners where orders are examined, one at a time */
-    ControlParts(int toleratedHosts, int toleratedZones, Executor examiners) {
+    ControlServiceFactory(int toleratedHosts, int toleratedZones, Executor examiners) {
         this.toleratedHosts = toleratedHosts;
         this.toleratedZones = toleratedZones;
         this.examiners = examiners;
     }
 
-    RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+    RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return new RaftNode(settings, saved, now, actions);
     }
 
@@ -36,25 +36,25 @@
         return new ReplicaPlanner(self, toleratedHosts, toleratedZones);
     }
 
-    Freshness freshness(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
-        return new Freshness(scheduler, group, peers, firstId);
+    FreshnessTracker freshness(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
+        return new FreshnessTracker(scheduler, group, peers, firstId);
     }
 
-    ConfigUpdateQueue orders(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
+    ConfigUpdateQueue orderQueue(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
         return new ConfigUpdateQueue(leader, store, new ConfigUpdateValidator(examiners, loop));
     }
 
-    ConfigStore store() {
+    ConfigStore configStore() {
         return new ConfigStore();
     }
 
     /** Of how many replicas a group has to be before anything is acknowledged. */
-    int leastVoters() {
+    int minVoters() {
         return 2 * toleratedHosts + 1;
     }
 
     /** How many other control nodes have to hold that a server ends before it is acknowledged. */
-    int copiesElsewhere() {
+    int requiredRemoteCopies() {
         return toleratedHosts;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** The name of the replica on a disk that comes to be empty later. */
-    String freshReplica(String ip, long number) {
-        return ReplicaNames.fresh(ip, number);
+    String replacementReplicaName(String ip, long number) {
+        return ReplicaNames.replacement(ip, number);
     }
 }
--- a/src/main/java/routerfleet/control/DataNodeService.java
+++ b/src/main/java/routerfleet/control/DataNodeService.java
@@ -18,14 +18,14 @@
     private final DataNodeConnections nodes;
     private final ControlPeers peers;
     private final ReplicaGroup group;
-    private final Freshness freshness;
+    private final FreshnessTracker freshness;
     private final long warmUntilNanos;
     private byte[] earlierSessions = {};
     private boolean flushPlanned;
 
     /** @param warmUntilNanos until when the session table may still lack servers, on the scheduler's clock */
     DataNodeService(Scheduler scheduler, long epoch, SessionTable table, DataNodeConnections nodes, ControlPeers peers,
-            ReplicaGroup group, Freshness freshness, long warmUntilNanos) {
+            ReplicaGroup group, FreshnessTracker freshness, long warmUntilNanos) {
         this.scheduler = scheduler;
         this.epoch = epoch;
         this.table = table;
@@ -89,7 +89,7 @@
 
     void sendConfiguration(PeerLink link, long knownGeneration) {
         if (group.generation() > knownGeneration) {
-            link.send(group.committed().whole());
+            link.send(group.committed().full());
         }
     }
 
@@ -109,7 +109,7 @@
     /** The newest configuration: what has changed, for one that has the generation before. */
     private PeerMessage committedFor(DataNodeConnections.Connection session) {
         PeerMessage.CommittedDelta delta = group.committed().delta();
-        return delta != null && delta.base() == session.sentGeneration ? delta : group.committed().whole();
+        return delta != null && delta.base() == session.sentGeneration ? delta : group.committed().full();
     }
 
     private void flush(DataNodeConnections.Connection session) {
--- a/src/main/java/routerfleet/control/FolderDisk.java
+++ b/src/main/java/routerfleet/control/DirectoryDisk.java
@@ -8,22 +8,22 @@
 import java.nio.file.StandardOpenOption;
 
 /** A folder of the machine's own disk. */
-final class FolderDisk implements Disk {
+final class DirectoryDisk implements Disk {
     /** Makes the entries of a folder outlive a loss of power. */
-    interface FolderSync {
+    interface DirectorySync {
         /** @throws IOException if the disk refuses it */
         void sync(Path folder) throws IOException;
     }
 
     private final Path folder;
-    private final FolderSync folderSync;
+    private final DirectorySync folderSync;
 
     /** @param folder made where there is none */
-    FolderDisk(Path folder) {
-        this(folder, FolderDisk::sync);
+    DirectoryDisk(Path folder) {
+        this(folder, DirectoryDisk::sync);
     }
 
-    FolderDisk(Path folder, FolderSync folderSync) {
+    DirectoryDisk(Path folder, DirectorySync folderSync) {
         this.folder = folder;
         this.folderSync = folderSync;
     }
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
         folderSync.sync(folder);
     }
 
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public void clear() throws IOException {
+        public void truncate() throws IOException {
             channel.truncate(0);
         }
 
--- a/src/main/java/routerfleet/control/Disk.java
+++ b/src/main/java/routerfleet/control/Disk.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A folder on a disk as a replica uses it: a real one ({@link FolderDisk}), or a simulated one. */
+/** A folder on a disk as a replica uses it: a real one ({@link DirectoryDisk}), or a simulated one. */
 interface Disk {
     /** All bytes of a file; null where there is none. */
     byte[] read(String name) throws IOException;
@@ -13,7 +13,7 @@
     DiskFile open(String name) throws IOException;
 
     /** Makes the folder's entries outlive a loss of power. */
-    void syncFolder() throws IOException;
+    void syncDirectory() throws IOException;
 
     /** An open file. */
     interface DiskFile extends Closeable {
@@ -21,7 +21,7 @@
         void write(long position, ByteBuffer bytes) throws IOException;
 
         /** Makes it empty. */
-        void clear() throws IOException;
+        void truncate() throws IOException;
 
         /** Makes what was written outlive a loss of power. */
         void sync() throws IOException;
--- a/src/main/java/routerfleet/control/DiskWriter.java
+++ b/src/main/java/routerfleet/control/DiskWriter.java
@@ -13,20 +13,20 @@
     void executeAfter(long delayMs, Runnable task);
 
     /** A steady clock in milliseconds. */
-    long millis();
+    long monotonicMs();
 
     /** Ends it; what has not begun is not run. */
     void close();
 
     /** A real thread. */
-    final class Thread implements DiskWriter {
+    final class SingleThread implements DiskWriter {
         private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
             java.lang.Thread thread = new java.lang.Thread(task, "replica-storage");
             thread.setDaemon(true);
             return thread;
         });
 
-        Thread() {
+        SingleThread() {
             executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
             executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         }
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public long millis() {
+        public long monotonicMs() {
             return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         }
 
--- a/src/main/java/routerfleet/control/EvacuationService.java
+++ b/src/main/java/routerfleet/control/EvacuationService.java
@@ -66,7 +66,7 @@
     private final Scheduler scheduler;
     private final Set<String> zones;
     private final ReplicaGroup group;
-    private final Freshness freshness;
+    private final FreshnessTracker freshness;
     private final ControlPeers peers;
     private final Map<Long, Call> calls = new HashMap<>();
     private Evacuations known = Evacuations.NONE;
@@ -76,7 +76,7 @@
      * @param zones those of the deployment
      * @param firstId drawn anew in each life of the process, so that an answer to an earlier one fits no call
      */
-    EvacuationService(Scheduler scheduler, Set<String> zones, ReplicaGroup group, Freshness freshness,
+    EvacuationService(Scheduler scheduler, Set<String> zones, ReplicaGroup group, FreshnessTracker freshness,
             ControlPeers peers, long firstId) {
         this.scheduler = scheduler;
         this.zones = zones;
@@ -157,8 +157,8 @@
     }
 
     private void send(long id, EvacuationOrder order, Call call) {
-        if (group.leads()) {
-            group.evacuate(order, outcome -> receiveReply(new PeerMessage.EvacuationReply(id, outcome)));
+        if (group.isLeader()) {
+            group.submitEvacuation(order, outcome -> receiveReply(new PeerMessage.EvacuationReply(id, outcome)));
         } else if (group.leader() == null
                 || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.EvacuationRequest(id, order))) {
             again(id);
@@ -178,7 +178,7 @@
 
     /** Another node has sent an order on, to this one as the leader. */
     void receiveForwarded(PeerLink link, PeerMessage.EvacuationRequest request) {
-        group.evacuate(request.order(), outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
+        group.submitEvacuation(request.order(), outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
     }
 
     /** The leader has answered. What is not taken is decided anew. */
--- a/src/main/java/routerfleet/control/Freshness.java
+++ b/src/main/java/routerfleet/control/FreshnessTracker.java
@@ -15,7 +15,7 @@
  * shard is applied here. A leader has its leadership confirmed by a majority; a follower asks the leader for its commit
  * index (a read index, Ongaro's thesis, section 6.4) and waits until that is applied.
  */
-class Freshness {
+class FreshnessTracker {
     private static final long WAIT_MS = 850;
     private static final long REFRESH_MS = 220;
     private static final int MOST_WAITING = 1_024;
@@ -35,7 +35,7 @@
     private boolean refreshPlanned;
 
     /** @param firstId drawn anew in each life of the process, so that an answer to an earlier one fits no question */
-    Freshness(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
+    FreshnessTracker(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
         this.scheduler = scheduler;
         lastId = firstId;
         this.group = group;
@@ -59,7 +59,7 @@
     /** Seeks a newer point at once. */
     void refresh() {
         long now = scheduler.nanoTime();
-        if (group.leads()) {
+        if (group.isLeader()) {
             group.confirmLeadership(() -> freshSince(now), () -> { });
         } else if (group.leader() != null) {
             long id = ++lastId;
@@ -87,19 +87,19 @@
     }
 
     /** Answers another node's question, as a leader. */
-    void answer(PeerLink link, long id) {
+    void answerReadIndex(PeerLink link, long id) {
         group.readIndex(index -> link.send(new PeerMessage.ReadIndexReply(id, index)));
     }
 
-    void answered(PeerMessage.ReadIndexReply reply) {
+    void onReadIndexReply(PeerMessage.ReadIndexReply reply) {
         Long since = asked.remove(reply.id());
         if (since != null && reply.index() >= 0) {
-            knownUpTo(reply.index(), since);
+            freshOnceApplied(reply.index(), since);
         }
     }
 
     /** All that was acknowledged at a point of this node's clock stands up to that entry. */
-    void knownUpTo(long index, long sinceNanos) {
+    void freshOnceApplied(long index, long sinceNanos) {
         group.whenApplied(index, () -> freshSince(sinceNanos));
     }
 
--- a/src/main/java/routerfleet/control/LeaderQuestions.java
+++ b/src/main/java/routerfleet/control/LeadershipWaiters.java
@@ -9,7 +9,7 @@
  *
  * <p>Bound: {@value #MOST_KEPT} questions kept for a new leader; those that wait for rounds are bounded by who asks.
  */
-final class LeaderQuestions {
+final class LeadershipWaiters {
     private static final int MOST_KEPT = 256;
 
     private record Waiter(long round, Runnable confirmed, Runnable lost) { }
@@ -18,7 +18,7 @@
     private final List<Runnable> kept = new ArrayList<>();
 
     /** Runs one of the two: once that round or a later one is confirmed, or leadership is lost. */
-    void await(long round, Runnable confirmed, Runnable lost) {
+    void awaitRound(long round, Runnable confirmed, Runnable lost) {
         waiters.add(new Waiter(round, confirmed, lost));
     }
 
@@ -30,7 +30,7 @@
     }
 
     /** Keeps a question until the leader can answer, or leads no more. @return whether there was room */
-    boolean keep(Runnable question) {
+    boolean defer(Runnable question) {
         if (kept.size() >= MOST_KEPT) {
             return false;
         }
@@ -38,7 +38,7 @@
     }
 
     /** The kept questions are asked again. */
-    void askKept() {
+    void retryDeferred() {
         List<Runnable> questions = new ArrayList<>(kept);
         kept.clear();
         questions.forEach(Runnable::run);
@@ -49,6 +49,6 @@
         List<Waiter> waiting = new ArrayList<>(waiters);
         waiters.clear();
         waiting.forEach(waiter -> waiter.lost().run());
-        askKept();
+        retryDeferred();
     }
 }
--- a/src/main/java/routerfleet/control/AgreementTimer.java
+++ b/src/main/java/routerfleet/control/RaftTimer.java
@@ -6,19 +6,19 @@
 import routerfleet.wire.Scheduler;
 
 /** Wakes a replica's agreement when it is due; the earliest of the times that it was set to counts. For one thread. */
-final class AgreementTimer {
+final class RaftTimer {
     private final Scheduler scheduler;
     private final Runnable task;
     /** When it is to wake; null where it is not set. */
     private Instant at;
 
-    AgreementTimer(Scheduler scheduler, Runnable task) {
+    RaftTimer(Scheduler scheduler, Runnable task) {
         this.scheduler = scheduler;
         this.task = task;
     }
 
     /** @param due null for never */
-    void set(Instant due) {
+    void schedule(Instant due) {
         if (due == null || at != null && !at.isAfter(due)) {
             return;
         }
--- a/src/main/java/routerfleet/control/ReplicaGroup.java
+++ b/src/main/java/routerfleet/control/ReplicaGroup.java
@@ -32,7 +32,7 @@
  */
 final class ReplicaGroup {
     /** What it needs of the node around it. */
-    interface Surroundings {
+    interface Environment {
         /** Sends to the replica of that name. */
         void send(String replica, Message message);
 
@@ -66,17 +66,17 @@
     /** With fewer, so many disks could be lost at once that no majority is left: nothing is acknowledged. */
     private final int leastVoters;
     private final ReplicaStorage storage;
-    private final Surroundings surroundings;
+    private final Environment surroundings;
     private final ConfigStore store;
     private final RaftNode agreement;
-    private final CommittedMessages committed;
+    private final CommittedConfigMessages committed;
     private final DeferredTasks deferred = new DeferredTasks();
     private final ConfigUpdateQueue orders;
     private final PendingEvacuations evacuationOrders = new PendingEvacuations();
-    private final LeaderQuestions questions = new LeaderQuestions();
-    private final AppliedEntries applied = new AppliedEntries();
-    private final AgreementTimer timer;
-    /** The leader that {@link Surroundings#leaderKnown} was last told of; null while there is none. */
+    private final LeadershipWaiters questions = new LeadershipWaiters();
+    private final AppliedIndex applied = new AppliedIndex();
+    private final RaftTimer timer;
+    /** The leader that {@link Environment#leaderKnown} was last told of; null while there is none. */
     private String knownLeader;
     private long bytesSinceSnapshot;
     /** It can't read what was decided, and takes no part any more: going on without would be another state. */
@@ -87,26 +87,26 @@
      * @param saved what is on its disk
      */
     ReplicaGroup(Scheduler scheduler, PeerCodec codec, String self, PersistentState saved, ReplicaStorage storage, long seed,
-            Surroundings surroundings, ControlParts parts) {
+            Environment surroundings, ControlServiceFactory parts) {
         this.scheduler = scheduler;
-        timer = new AgreementTimer(scheduler, this::onTime);
-        leastVoters = parts.leastVoters();
-        store = parts.store();
-        orders = parts.orders(new Leader(), store, scheduler);
+        timer = new RaftTimer(scheduler, this::onTime);
+        leastVoters = parts.minVoters();
+        store = parts.configStore();
+        orders = parts.orderQueue(new Leader(), store, scheduler);
         this.codec = codec;
-        committed = new CommittedMessages(codec, store);
+        committed = new CommittedConfigMessages(codec, store);
         this.self = self;
         this.storage = storage;
         this.surroundings = surroundings;
         restore(saved.snapshot());
-        agreement = parts.agreement(new RaftNode.Settings(self, ELECTION, FIRST_ELECTION, HEARTBEAT, MOST_MESSAGE_BYTES,
+        agreement = parts.raftNode(new RaftNode.Settings(self, ELECTION, FIRST_ELECTION, HEARTBEAT, MOST_MESSAGE_BYTES,
                 MOST_UNDECIDED, RaftNode.Transport.CONNECTIONS, seed), saved, scheduler.now(), new AgreementActions());
-        timer.set(agreement.due());
+        timer.schedule(agreement.due());
     }
 
     // ---- asked
 
-    boolean leads() {
+    boolean isLeader() {
         return !halted && agreement.isEstablished();
     }
 
@@ -128,13 +128,13 @@
     /** Its part in the group, in one line. */
     String describe() {
         return (halted ? "halted" : agreement.role()) + " of term " + agreement.term() + ", leader " + leader()
-                + ", voters " + voters() + (isChanging() ? " in place of " + agreement.voterConfig().outgoing() : "")
-                + ", entries " + applied.last() + "/" + agreement.commitIndex() + "/" + agreement.lastIndex() + ", "
-                + storage.waiting() + " writes wait";
+                + ", voters " + voters() + (isChangingMembers() ? " in place of " + agreement.voterConfig().outgoing() : "")
+                + ", entries " + applied.index() + "/" + agreement.commitIndex() + "/" + agreement.lastIndex() + ", "
+                + storage.pendingWrites() + " writes wait";
     }
 
     /** Whether a change of the members is under way. */
-    boolean isChanging() {
+    boolean isChangingMembers() {
         return agreement.voterConfig().isJoint();
     }
 
@@ -156,7 +156,7 @@
     }
 
     /** Whether a replica without a vote holds all that is decided; as a leader. */
-    boolean holdsAll(String replica) {
+    boolean isCaughtUp(String replica) {
         return agreement.hasAllCommitted(replica);
     }
 
@@ -174,7 +174,7 @@
         return store.configuration().tenants();
     }
 
-    boolean votersAreDecided() {
+    boolean areVotersCommitted() {
         return agreement.isVoterChangeCommitted();
     }
 
@@ -188,13 +188,13 @@
     }
 
     /** The newest configuration that is known to be committed, for data nodes. */
-    CommittedMessages committed() {
+    CommittedConfigMessages committed() {
         return committed;
     }
 
     // ---- events
 
-    void received(String from, Message message) {
+    void onMessage(String from, Message message) {
         if (halted || storage.isFull()) {
             return; // as if it were lost: what matters comes again
         }
@@ -202,7 +202,7 @@
     }
 
     /** There is a new connection to another replica's node. */
-    void reconnected(String ip) {
+    void onReconnected(String ip) {
         for (String replica : agreement.matchIndexes().keySet()) {
             if (ReplicaNames.ip(replica).equals(ip)) {
                 agreement.onReconnected(scheduler.now(), replica);
@@ -212,7 +212,7 @@
     }
 
     /** Tells which nodes can be reached, there and back: what matters before there was any leader. */
-    void reachable(Set<String> ips) {
+    void setReachable(Set<String> ips) {
         agreement.setReachable(scheduler.now(), voters().stream().filter(v -> ips.contains(ReplicaNames.ip(v))).toList());
         settle();
     }
@@ -223,8 +223,8 @@
     }
 
     /** Takes an order, as a leader. */
-    void order(ConfigOrder order, Consumer<ConfigUpdateQueue.Result> answer) {
-        if (!leads() || orders.isFull() || storage.isFull()) {
+    void submit(ConfigOrder order, Consumer<ConfigUpdateQueue.Result> answer) {
+        if (!isLeader() || orders.isFull() || storage.isFull()) {
             answer.accept(ConfigUpdateQueue.Result.unknown("no leader here that can take it"));
         } else if (!isLargeEnough()) {
             answer.accept(ConfigUpdateQueue.Result.unknown("fewer than " + leastVoters + " replicas so far"));
@@ -235,15 +235,15 @@
     }
 
     /** Proposes an order about an evacuation, as a leader. */
-    void evacuate(EvacuationOrder order, Consumer<EvacuationOutcome> answer) {
-        boolean may = leads() && isLargeEnough() && !evacuationOrders.isFull() && !storage.isFull();
+    void submitEvacuation(EvacuationOrder order, Consumer<EvacuationOutcome> answer) {
+        boolean may = isLeader() && isLargeEnough() && !evacuationOrders.isFull() && !storage.isFull();
         evacuationOrders.register(may ? agreement.propose(scheduler.now(), codec.encode(order)) : 0, answer);
         settle();
     }
 
     /** Has a majority confirm that this replica still leads. */
     void confirmLeadership(Runnable confirmed, Runnable lost) {
-        if (!leads()) {
+        if (!isLeader()) {
             lost.run();
             return;
         }
@@ -251,26 +251,26 @@
         if (round == 0) {
             lost.run();
         } else {
-            questions.await(round, confirmed, lost);
+            questions.awaitRound(round, confirmed, lost);
         }
         settle();
     }
 
     /** The entry up to which everything that was acknowledged before this call stands; negative where unknown. */
     void readIndex(LongConsumer answer) {
-        boolean mayAnswer = !isElected() || leads() || halted;
-        if (mayAnswer || !questions.keep(() -> readIndex(answer))) {
+        boolean mayAnswer = !isElected() || isLeader() || halted;
+        if (mayAnswer || !questions.defer(() -> readIndex(answer))) {
             confirmLeadership(() -> answer.accept(agreement.commitIndex()), () -> answer.accept(-1));
         }
     }
 
     /** Runs a task once that entry is applied here. */
     void whenApplied(long index, Runnable task) {
-        applied.whenReached(index, task);
+        applied.whenApplied(index, task);
     }
 
     /** Sends the log to replicas without a vote; as a leader. */
-    void learners(List<String> names) {
+    void setLearners(List<String> names) {
         agreement.setLearners(scheduler.now(), names);
         settle();
     }
@@ -284,16 +284,16 @@
     }
 
     /** Called regularly: a leader whose disk does not answer hands its part on. */
-    void watchDisk() {
-        if (leads() && storage.stalledMs() > DISK_STALLED_MS && agreement.voters().size() > 1) {
+    void handOverIfDiskStalled() {
+        if (isLeader() && storage.stalledMs() > DISK_STALLED_MS && agreement.voters().size() > 1) {
             LOG.log(System.Logger.Level.WARNING, "the disk has not answered for " + storage.stalledMs()
                     + " ms: another replica is to lead");
-            handOver();
+            transferLeadership();
         }
     }
 
     /** Asks another replica to lead, before this one stops. */
-    void handOver() {
+    void transferLeadership() {
         agreement.transferLeadership(scheduler.now());
         settle();
     }
@@ -327,13 +327,13 @@
             return;
         }
         compact();
-        timer.set(agreement.due());
+        timer.schedule(agreement.due());
         tellLeader();
     }
 
     private void tellLeader() {
         String before = knownLeader;
-        knownLeader = isElected() && !leads() ? null : leader();
+        knownLeader = isElected() && !isLeader() ? null : leader();
         if (knownLeader != null && !knownLeader.equals(before)) {
             surroundings.leaderKnown();
         }
@@ -371,7 +371,7 @@
     }
 
     private void restore(Snapshot snapshot) {
-        applied.reached(snapshot.index());
+        applied.advanceTo(snapshot.index());
         if (snapshot.data().length == 0) {
             return;
         }
@@ -393,7 +393,7 @@
         halted = true;
         LOG.log(System.Logger.Level.ERROR, what + " can't be taken in: this replica takes no part any more", cause);
         deferred.add(this::leadershipLost);
-        applied.giveUp();
+        applied.discardWaiters();
     }
 
     /** Whether it has stopped for good, since it can't read what was decided. */
@@ -413,8 +413,8 @@
                 return;
             }
         }
-        applied.reached(entry.index());
-        deferred.add(applied::wake);
+        applied.advanceTo(entry.index());
+        deferred.add(applied::runApplied);
     }
 
     /** @param order examined by a leader, or as it was sent */
@@ -477,13 +477,13 @@
             ReplicaGroup.this.restore(snapshot);
             deferred.add(() -> surroundings.configurationChanged(store.generation()));
             deferred.add(() -> surroundings.evacuationsChanged(store.evacuations()));
-            deferred.add(applied::wake);
+            deferred.add(applied::runApplied);
         }
 
         @Override
         public void becameLeader(long term) {
             LOG.log(System.Logger.Level.INFO, self + " leads term " + term);
-            deferred.add(questions::askKept);
+            deferred.add(questions::retryDeferred);
         }
 
         @Override
--- a/src/main/java/routerfleet/control/ReplicaNames.java
+++ b/src/main/java/routerfleet/control/ReplicaNames.java
@@ -12,17 +12,17 @@
     private ReplicaNames() { }
 
     /** The replica on the disk that a node has as the whole system starts for the first time. */
-    static String founder(String ip) {
+    static String initial(String ip) {
         return ip + SEPARATOR + FOUNDER;
     }
 
     /** A replica on a disk that comes to be empty later. */
-    static String fresh(String ip, long number) {
+    static String replacement(String ip, long number) {
         return ip + SEPARATOR + Long.toHexString(number | 1L << 62);
     }
 
     /** The number of a replica: it names one life of its node's disk. */
-    static long number(String replica) {
+    static long incarnation(String replica) {
         return Long.parseUnsignedLong(replica.substring(replica.indexOf(SEPARATOR) + 1), HEXADECIMAL);
     }
 
--- a/src/main/java/routerfleet/control/ReplicaPlanner.java
+++ b/src/main/java/routerfleet/control/ReplicaPlanner.java
@@ -28,12 +28,12 @@
     static final long REPLACE_AFTER_MS = 1_500;
 
     /** Which control nodes are there. */
-    interface Presence {
+    interface ClusterView {
         /** Names of the replicas of the other control nodes that are connected. */
-        List<String> replicas();
+        List<String> connectedReplicas();
 
         /** Whether a replica without a vote holds all that is decided. */
-        boolean holdsAll(String replica);
+        boolean isCaughtUp(String replica);
 
         /** Whether a replica's node has said that it is about to stop. */
         boolean isLeaving(String replica);
@@ -42,7 +42,7 @@
         String zone(String ip);
 
         /** For how long the control node at an address has not been connected, in milliseconds; 0 while it is. */
-        long absentMs(String ip);
+        long disconnectedMs(String ip);
     }
 
     private final String self;
@@ -61,10 +61,10 @@
     }
 
     /** @return the replicas that the group should have next; the same list where nothing is to be changed */
-    List<String> next(List<String> replicas, Presence presence) {
+    List<String> planMembers(List<String> replicas, ClusterView presence) {
         List<String> newcomers = new ArrayList<>();
-        for (String newcomer : newcomers(replicas, presence)) {
-            if (presence.holdsAll(newcomer) && !presence.isLeaving(newcomer)) {
+        for (String newcomer : learners(replicas, presence)) {
+            if (presence.isCaughtUp(newcomer) && !presence.isLeaving(newcomer)) {
                 newcomers.add(newcomer);
             }
         }
@@ -83,7 +83,7 @@
     }
 
     /** The newcomer in whose zone the fewest members are, without the one that gives way. */
-    private static String take(List<String> newcomers, List<String> members, String done, Presence presence) {
+    private static String take(List<String> newcomers, List<String> members, String done, ClusterView presence) {
         List<String> staying = new ArrayList<>(members);
         staying.remove(done);
         String best = newcomers.stream().min(Comparator.comparingLong(n -> inZone(zone(n, presence), staying, presence)))
@@ -93,7 +93,7 @@
     }
 
     /** Where a zone's loss would take the majority, one of its members gives way to a newcomer of another zone. */
-    private List<String> spread(List<String> replicas, List<String> newcomers, Presence presence) {
+    private List<String> spread(List<String> replicas, List<String> newcomers, ClusterView presence) {
         for (String member : replicas) {
             String crowded = zone(member, presence);
             boolean takesMajority = replicas.size() - inZone(crowded, replicas, presence) <= replicas.size() / 2;
@@ -112,18 +112,18 @@
         return replicas;
     }
 
-    private static String zone(String replica, Presence presence) {
+    private static String zone(String replica, ClusterView presence) {
         return presence.zone(ReplicaNames.ip(replica));
     }
 
-    private static long inZone(String zone, List<String> replicas, Presence presence) {
+    private static long inZone(String zone, List<String> replicas, ClusterView presence) {
         return zone == null ? 0 : replicas.stream().filter(r -> zone.equals(zone(r, presence))).count();
     }
 
     /** Control nodes that are connected and have no vote. */
-    static List<String> newcomers(List<String> replicas, Presence presence) {
+    static List<String> learners(List<String> replicas, ClusterView presence) {
         List<String> newcomers = new ArrayList<>();
-        for (String replica : presence.replicas()) {
+        for (String replica : presence.connectedReplicas()) {
             if (!replicas.contains(replica) && !newcomers.contains(replica)) {
                 newcomers.add(replica);
             }
@@ -132,7 +132,7 @@
     }
 
     /** Members that are to give way: first those whose disks are lost, then those that leave, then the silent ones. */
-    private List<String> doneWith(List<String> replicas, Presence presence) {
+    private List<String> doneWith(List<String> replicas, ClusterView presence) {
         List<String> lost = new ArrayList<>();
         List<String> leaving = new ArrayList<>();
         List<String> silent = new ArrayList<>();
@@ -144,7 +144,7 @@
                 lost.add(replica);
             } else if (presence.isLeaving(replica)) {
                 leaving.add(replica);
-            } else if (presence.absentMs(ReplicaNames.ip(replica)) >= REPLACE_AFTER_MS) {
+            } else if (presence.disconnectedMs(ReplicaNames.ip(replica)) >= REPLACE_AFTER_MS) {
                 silent.add(replica);
             }
         }
@@ -154,9 +154,9 @@
     }
 
     /** Whether its node, which may be this one, has come back as another replica, with an empty disk. */
-    private boolean hasLostItsDisk(String replica, Presence presence) {
+    private boolean hasLostItsDisk(String replica, ClusterView presence) {
         String ip = ReplicaNames.ip(replica);
         return ReplicaNames.ip(self).equals(ip)
-                || presence.replicas().stream().anyMatch(r -> !r.equals(replica) && ReplicaNames.ip(r).equals(ip));
+                || presence.connectedReplicas().stream().anyMatch(r -> !r.equals(replica) && ReplicaNames.ip(r).equals(ip));
     }
 }
--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -37,7 +37,7 @@
      *
      * @param replica the name of the replica whose state it is
      */
-    record Opened(String replica, PersistentState saved) { }
+    record StoredReplica(String replica, PersistentState saved) { }
 
     private record Job(Write write, Runnable stored) { }
 
@@ -65,7 +65,7 @@
 
     /** @param loop where it is told that something is stored */
     ReplicaStorage(Path folder, Executor loop) {
-        this(new FolderDisk(folder), loop, new DiskWriter.Thread());
+        this(new DirectoryDisk(folder), loop, new DiskWriter.SingleThread());
     }
 
     ReplicaStorage(Disk disk, Executor loop, DiskWriter writer) {
@@ -75,7 +75,7 @@
     }
 
     /** @return what the newer whole slot holds; null where there is none: the disk is empty */
-    Opened open() throws IOException {
+    StoredReplica open() throws IOException {
         VoterFileCodec.Recovered newest = null;
         for (int i = 0; i < SLOTS; i++) {
             byte[] bytes = disk.read(slotName(i));
@@ -93,7 +93,7 @@
         length = newest.length();
         chain = newest.chain();
         file = disk.open(slotName(slot));
-        return new Opened(replica, newest.saved());
+        return new StoredReplica(replica, newest.saved());
     }
 
     /** The servers last known, on the same disk and written by the same thread. */
@@ -120,7 +120,7 @@
      *
      * @throws IOException if the disk refuses it; may be tried again
      */
-    void found(String name, PersistentState initial) throws IOException {
+    void storeInitial(String name, PersistentState initial) throws IOException {
         replica = name;
         write(List.of(new Job(new Write.FullState(initial), () -> { })));
     }
@@ -139,7 +139,7 @@
     }
 
     /** How many writes wait for the disk. */
-    int waiting() {
+    int pendingWrites() {
         synchronized (waiting) {
             return waiting.size();
         }
@@ -155,7 +155,7 @@
     /** For how long the write that is under way has not come back, in milliseconds; 0 where none is. */
     long stalledMs() {
         synchronized (waiting) {
-            return writingSinceMs < 0 ? 0 : writer.millis() - writingSinceMs;
+            return writingSinceMs < 0 ? 0 : writer.monotonicMs() - writingSinceMs;
         }
     }
 
@@ -173,7 +173,7 @@
             batch = new ArrayList<>(waiting);
             waiting.clear();
             waitingBytes = 0;
-            writingSinceMs = writer.millis();
+            writingSinceMs = writer.monotonicMs();
         }
         writeUntilDone(batch);
     }
@@ -249,7 +249,7 @@
         VoterFileCodec.Encoded written = VoterFileCodec.replacement(Long.toString(slotSequence + 1), replica, whole);
         Disk.DiskFile fresh = disk.open(slotName(other));
         try {
-            fresh.clear();
+            fresh.truncate();
             fresh.write(0, ByteBuffer.wrap(written.bytes()));
             fresh.sync();
             syncEntry(other);
@@ -274,7 +274,7 @@
 
     private void syncEntry(int index) throws IOException {
         if (!entered[index]) {
-            disk.syncFolder();
+            disk.syncDirectory();
             entered[index] = true;
         }
     }
--- a/src/main/java/routerfleet/control/SessionStorage.java
+++ b/src/main/java/routerfleet/control/SessionStorage.java
@@ -139,10 +139,10 @@
         ByteBuffer bytes = ByteBuffer.allocate(CHECKSUM_BYTES + message.length);
         bytes.putInt(checksum(message)).put(message).flip();
         try (Disk.DiskFile file = disk.open(slotName(slot))) {
-            file.clear();
+            file.truncate();
             file.write(0, bytes);
             file.sync();
-            disk.syncFolder();
+            disk.syncDirectory();
             return true;
         } catch (IOException e) {
             LOG.log(System.Logger.Level.DEBUG, "the known servers could not be kept", e);
--- a/src/main/java/routerfleet/control/TallyAckPolicy.java
+++ b/src/main/java/routerfleet/control/TallyAckPolicy.java
@@ -49,12 +49,12 @@
 
     /** Looks which nodes are connected; as often as that may change. */
     void update(long nowNanos) {
-        boolean fewNow = !isFull(peers.reached());
+        boolean fewNow = !isFull(peers.connectedBothWays());
         if (fewNow && !few) {
             fewSinceNanos = nowNanos;
         }
         few = fewNow;
-        boolean noneNow = peers.reached().isEmpty();
+        boolean noneNow = peers.connectedBothWays().isEmpty();
         if (noneNow && !none) {
             noneSinceNanos = nowNanos;
         }
@@ -80,7 +80,7 @@
     }
 
     private String reachable() {
-        Set<String> all = new TreeSet<>(peers.reached());
+        Set<String> all = new TreeSet<>(peers.connectedBothWays());
         all.add(selfIp);
         return String.join(", ", all);
     }
@@ -101,12 +101,12 @@
 
     /** Whether an add may be acknowledged. @param others the nodes that hold it on disk, beside this one */
     boolean isDurable(Set<String> others) {
-        return isFull(others) || cutOff && others.containsAll(peers.reached());
+        return isFull(others) || cutOff && others.containsAll(peers.connectedBothWays());
     }
 
     private boolean isFull(Set<String> others) {
         Set<String> holders = new TreeSet<>(others);
         holders.add(selfIp);
-        return holders.size() >= Math.min(copies, peers.known().size()) && peers.span(holders, selfZone, zones);
+        return holders.size() >= Math.min(copies, peers.known().size()) && peers.spanZones(holders, selfZone, zones);
     }
 }
--- a/src/main/java/routerfleet/control/TallyStorage.java
+++ b/src/main/java/routerfleet/control/TallyStorage.java
@@ -142,7 +142,7 @@
         }
         run(() -> {
             file.sync();
-            disk.syncFolder();
+            disk.syncDirectory();
         }, stored -> done.run());
     }
 
@@ -186,7 +186,7 @@
         try {
             write(fresh, 0, 0, content);
             fresh.sync();
-            disk.syncFolder();
+            disk.syncDirectory();
         } catch (IOException e) {
             fresh.close();
             throw e;
@@ -204,7 +204,7 @@
     private Disk.DiskFile cleared(int index) throws RefusedException {
         try {
             Disk.DiskFile fresh = disk.open(slotName(index));
-            fresh.clear();
+            fresh.truncate();
             return fresh;
         } catch (IOException e) {
             throw new RefusedException(e);
--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -138,7 +138,7 @@
     boolean evacuatedAfterDelayedRequest(List<Boolean> earlier, boolean heldUp, List<Boolean> later, long cutNanos) {
         begin();
         world.runUntilMs(2_500);
-        SimulatedMachine leader = machines.stream().filter(m -> m.service().group().leads()).findFirst().orElseThrow();
+        SimulatedMachine leader = machines.stream().filter(m -> m.service().group().isLeader()).findFirst().orElseThrow();
         SimulatedMachine follower = machines.stream().filter(m -> m != leader).findFirst().orElseThrow();
         earlier.forEach(start -> acknowledged(leader, start));
         boolean[] waits = {true};
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -98,7 +98,7 @@
         }
         plane.seen().faults++;
         List<SimulatedMachine> all = plane.listed();
-        SimulatedMachine leader = all.stream().filter(m -> m.service() != null && m.service().group().leads()).findFirst()
+        SimulatedMachine leader = all.stream().filter(m -> m.service() != null && m.service().group().isLeader()).findFirst()
                 .orElse(null);
         SimulatedMachine machine = leader != null && fault.variant() % 3 == 0 ? leader
                 : all.get(fault.target() % all.size());
@@ -137,9 +137,9 @@
             }
             case STRIKE_AFTER_ACK -> clients.onAcknowledged(() -> strikeAfterAck(fault));
             case WIPE_AND_POWER -> wipeAndPower(fault);
-            case AT_A_CHANGE -> when(fault, world.nowMs() + WATCH_MS, m -> m.service().group().isChanging());
+            case AT_A_CHANGE -> when(fault, world.nowMs() + WATCH_MS, m -> m.service().group().isChangingMembers());
             case AT_AN_ELECTION -> when(fault, world.nowMs() + WATCH_MS, m -> m.service().group().isElected()
-                    && !m.service().group().leads());
+                    && !m.service().group().isLeader());
             default -> throw new IllegalStateException("unknown " + fault.kind());
         }
     }
--- a/src/test/java/routerfleet/control/FaultyParts.java
+++ b/src/test/java/routerfleet/control/FaultyParts.java
@@ -12,7 +12,7 @@
 import routerfleet.wire.Scheduler;
 
 /** The parts of a control service, one of them with a planted fault. */
-final class FaultyParts extends ControlParts {
+final class FaultyParts extends ControlServiceFactory {
     private static final int LEAST_REPLICAS = 3;
     private static final long REMOVED_AFTER_MS = 8_000;
 
@@ -24,23 +24,23 @@
     }
 
     @Override
-    RaftNode agreement(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
+    RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
         return fault.agreement(settings, saved, now, actions);
     }
 
     @Override
-    ConfigStore store() {
+    ConfigStore configStore() {
         return fault.store();
     }
 
     @Override
-    int leastVoters() {
-        return fault == PlantedFault.SILENCE_REMOVES || fault == PlantedFault.REMOVED_FIRST ? 1 : super.leastVoters();
+    int minVoters() {
+        return fault == PlantedFault.SILENCE_REMOVES || fault == PlantedFault.REMOVED_FIRST ? 1 : super.minVoters();
     }
 
     @Override
-    int copiesElsewhere() {
-        return fault == PlantedFault.END_HELD_BY_ONE ? 0 : super.copiesElsewhere();
+    int requiredRemoteCopies() {
+        return fault == PlantedFault.END_HELD_BY_ONE ? 0 : super.requiredRemoteCopies();
     }
 
     @Override
@@ -61,14 +61,14 @@
     }
 
     @Override
-    String freshReplica(String ip, long number) {
-        return fault == PlantedFault.NAME_KEPT ? ReplicaNames.founder(ip) : super.freshReplica(ip, number);
+    String replacementReplicaName(String ip, long number) {
+        return fault == PlantedFault.NAME_KEPT ? ReplicaNames.initial(ip) : super.replacementReplicaName(ip, number);
     }
 
     @Override
-    ConfigUpdateQueue orders(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
-        return fault == PlantedFault.REFUSED_UNCONFIRMED ? super.orders(new Unconfirmed(leader), store, loop)
-                : super.orders(leader, store, loop);
+    ConfigUpdateQueue orderQueue(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
+        return fault == PlantedFault.REFUSED_UNCONFIRMED ? super.orderQueue(new Unconfirmed(leader), store, loop)
+                : super.orderQueue(leader, store, loop);
     }
 
     private record Unconfirmed(ConfigUpdateQueue.Leader leader) implements ConfigUpdateQueue.Leader {
@@ -89,8 +89,8 @@
     }
 
     @Override
-    Freshness freshness(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
-        return new Freshness(scheduler, group, peers, firstId) {
+    FreshnessTracker freshness(Scheduler scheduler, ReplicaGroup group, ControlPeers peers, long firstId) {
+        return new FreshnessTracker(scheduler, group, peers, firstId) {
             @Override
             void whenFresh(Runnable fresh, Runnable late) {
                 if (fault == PlantedFault.READS_UNASKED) {
@@ -101,11 +101,11 @@
             }
 
             @Override
-            void knownUpTo(long index, long sinceNanos) {
+            void freshOnceApplied(long index, long sinceNanos) {
                 if (fault == PlantedFault.READ_INDEX_UNAPPLIED) {
                     freshSince(sinceNanos);
                 } else {
-                    super.knownUpTo(index, sinceNanos);
+                    super.freshOnceApplied(index, sinceNanos);
                 }
             }
         };
@@ -115,22 +115,22 @@
     ReplicaPlanner planner(String self) {
         return new ReplicaPlanner(self, toleratedHosts, toleratedZones) {
             @Override
-            List<String> next(List<String> replicas, Presence presence) {
+            List<String> planMembers(List<String> replicas, ClusterView presence) {
                 return switch (fault) {
-                    case SILENCE_REMOVES -> withoutSilent(replicas, presence, super.next(replicas, presence));
-                    case REMOVED_FIRST -> oneStep(replicas, super.next(replicas, presence));
-                    default -> super.next(replicas, presence);
+                    case SILENCE_REMOVES -> withoutSilent(replicas, presence, super.planMembers(replicas, presence));
+                    case REMOVED_FIRST -> oneStep(replicas, super.planMembers(replicas, presence));
+                    default -> super.planMembers(replicas, presence);
                 };
             }
         };
     }
 
-    private static List<String> withoutSilent(List<String> replicas, ReplicaPlanner.Presence presence, List<String> next) {
+    private static List<String> withoutSilent(List<String> replicas, ReplicaPlanner.ClusterView presence, List<String> next) {
         if (!next.equals(replicas) || replicas.size() <= LEAST_REPLICAS) {
             return next;
         }
         List<String> left = new ArrayList<>(replicas);
-        left.removeIf(r -> left.size() > LEAST_REPLICAS && presence.absentMs(ReplicaNames.ip(r)) >= REMOVED_AFTER_MS);
+        left.removeIf(r -> left.size() > LEAST_REPLICAS && presence.disconnectedMs(ReplicaNames.ip(r)) >= REMOVED_AFTER_MS);
         return left;
     }
 
--- a/src/test/java/routerfleet/control/GroupSimulation.java
+++ b/src/test/java/routerfleet/control/GroupSimulation.java
@@ -170,7 +170,7 @@
         if (leader == null || !decided) {
             return;
         }
-        List<String> wanted = new ReplicaPlanner(leader.replica, tolerated, 0).next(voters, presence());
+        List<String> wanted = new ReplicaPlanner(leader.replica, tolerated, 0).planMembers(voters, presence());
         if (!wanted.equals(voters)) {
             wanted.stream().filter(v -> !voters.contains(v)).forEach(holders::add); // else it would not be wanted
             voters = new ArrayList<>(wanted);
@@ -179,15 +179,15 @@
         }
     }
 
-    private ReplicaPlanner.Presence presence() {
-        return new ReplicaPlanner.Presence() {
+    private ReplicaPlanner.ClusterView presence() {
+        return new ReplicaPlanner.ClusterView() {
             @Override
-            public List<String> replicas() {
+            public List<String> connectedReplicas() {
                 return machines.stream().filter(m -> m != leader && m.isUp()).map(m -> m.replica).toList();
             }
 
             @Override
-            public boolean holdsAll(String replica) {
+            public boolean isCaughtUp(String replica) {
                 Machine machine = holderOf(replica);
                 return machine != null && machine.isUp()
                         && nowMs >= machine.catchesUpUntilMs - CATCH_UP_MS + TRANSFER_MS;
@@ -204,7 +204,7 @@
             }
 
             @Override
-            public long absentMs(String ip) {
+            public long disconnectedMs(String ip) {
                 for (Machine machine : machines) {
                     if (machine.ip.equals(ip)) {
                         return machine.downAtMs < 0 ? 0 : Math.max(0, nowMs - machine.downAtMs - noticeMs);
--- a/src/test/java/routerfleet/control/PlantedFault.java
+++ b/src/test/java/routerfleet/control/PlantedFault.java
@@ -103,8 +103,8 @@
     }
 
     /** The parts that a control service with this fault is made of. */
-    ControlParts parts(int toleratedHosts) {
-        return this == NONE ? new ControlParts(toleratedHosts) : new FaultyParts(this, toleratedHosts);
+    ControlServiceFactory parts(int toleratedHosts) {
+        return this == NONE ? new ControlServiceFactory(toleratedHosts) : new FaultyParts(this, toleratedHosts);
     }
 
     /** The HTTP handler with this fault. */
--- a/src/test/java/routerfleet/control/ReplicaGroupTest.java
+++ b/src/test/java/routerfleet/control/ReplicaGroupTest.java
@@ -40,16 +40,16 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private ReplicaGroup group(ReplicaGroup.Surroundings surroundings) throws Exception {
+    private ReplicaGroup group(ReplicaGroup.Environment surroundings) throws Exception {
         return group(PersistentState.initial(List.of(SELF)), surroundings);
     }
 
-    private ReplicaGroup group(PersistentState saved, ReplicaGroup.Surroundings surroundings) throws Exception {
+    private ReplicaGroup group(PersistentState saved, ReplicaGroup.Environment surroundings) throws Exception {
         storage = new ReplicaStorage(folder, loop);
         storage.open();
         storage.start(SELF, saved);
         return loop.submit(() -> new ReplicaGroup(new EventLoopScheduler(loop), new PeerCodec(), SELF, saved, storage,
-                1, surroundings, new ControlParts(0))).get();
+                1, surroundings, new ControlServiceFactory(0))).get();
     }
 
     private ConfigUpdateQueue.Outcome order(ReplicaGroup group, long base, String body) throws Exception {
@@ -57,7 +57,7 @@
         do {
             CompletableFuture<ConfigUpdateQueue.Outcome> answer = new CompletableFuture<>();
             ConfigOrder order = new ConfigOrder(ConfigOrder.Kind.REPLACE, base, body.getBytes(StandardCharsets.UTF_8));
-            loop.execute(() -> group.order(order, given -> answer.complete(given.outcome())));
+            loop.execute(() -> group.submit(order, given -> answer.complete(given.outcome())));
             outcome = answer.get(WAIT_S, TimeUnit.SECONDS);
         } while (outcome == ConfigUpdateQueue.Outcome.UNKNOWN); // no leader yet
         return outcome;
@@ -81,17 +81,17 @@
         };
         loop.execute(watch[0]);
         halted.get(WAIT_S, TimeUnit.SECONDS);
-        assertThat(loop.submit(group::leads).get(), is(false));
+        assertThat(loop.submit(group::isLeader).get(), is(false));
         assertThat(loop.submit(group::answersReads).get(), is(false));
         assertThat(loop.submit(group::generation).get(), is(0L));
         CompletableFuture<ConfigUpdateQueue.Outcome> answer = new CompletableFuture<>();
-        loop.execute(() -> group.order(new ConfigOrder(ConfigOrder.Kind.REPLACE, 0,
+        loop.execute(() -> group.submit(new ConfigOrder(ConfigOrder.Kind.REPLACE, 0,
                 Configurations.whole(2).getBytes(StandardCharsets.UTF_8)), given -> answer.complete(given.outcome())));
         assertThat(answer.get(WAIT_S, TimeUnit.SECONDS), is(ConfigUpdateQueue.Outcome.UNKNOWN));
     }
 
     /** Surroundings that hear nothing. */
-    private static final class Quiet implements ReplicaGroup.Surroundings {
+    private static final class Quiet implements ReplicaGroup.Environment {
         @Override
         public void send(String to, Message message) {
             // nobody is there
@@ -116,7 +116,7 @@
     /** Guards the replica: a failure in what an order brings about must not leave all later orders without an answer. */
     @Test
     void ordersGoOnAfterATaskHasFailed() throws Exception {
-        ReplicaGroup group = group(new ReplicaGroup.Surroundings() {
+        ReplicaGroup group = group(new ReplicaGroup.Environment() {
             @Override
             public void send(String to, Message message) {
                 throw new IllegalStateException("there is nobody to send to");
--- a/src/test/java/routerfleet/control/ReplicaPlannerTest.java
+++ b/src/test/java/routerfleet/control/ReplicaPlannerTest.java
@@ -24,7 +24,7 @@
     private static final List<String> FIVE = List.of(SELF, SECOND, THIRD, FOURTH, FIFTH);
 
     /** Control nodes as a test has them. */
-    private static final class Nodes implements ReplicaPlanner.Presence {
+    private static final class Nodes implements ReplicaPlanner.ClusterView {
         private final List<String> present;
         private final Map<String, Long> absent = new HashMap<>();
         private final Set<String> leaving = new HashSet<>();
@@ -63,12 +63,12 @@
         }
 
         @Override
-        public List<String> replicas() {
+        public List<String> connectedReplicas() {
             return present;
         }
 
         @Override
-        public boolean holdsAll(String replica) {
+        public boolean isCaughtUp(String replica) {
             return !behind.contains(replica);
         }
 
@@ -78,13 +78,13 @@
         }
 
         @Override
-        public long absentMs(String ip) {
+        public long disconnectedMs(String ip) {
             return absent.getOrDefault(ip, 0L);
         }
     }
 
     private static List<String> next(int tolerated, List<String> replicas, Nodes nodes) {
-        return new ReplicaPlanner(SELF, tolerated, 1).next(replicas, nodes);
+        return new ReplicaPlanner(SELF, tolerated, 1).planMembers(replicas, nodes);
     }
 
     private static List<String> replaced(List<String> replicas, String old, String successor) {
@@ -214,7 +214,7 @@
             assertThat(next.size() >= wanted, is(true));
             assertThat(next.contains(SELF), is(true));
             assertThat(new HashSet<>(next).size(), is(next.size()));
-            next.stream().filter(r -> !replicas.contains(r)).forEach(r -> assertThat(nodes.holdsAll(r), is(true)));
+            next.stream().filter(r -> !replicas.contains(r)).forEach(r -> assertThat(nodes.isCaughtUp(r), is(true)));
         }
     }
 
--- a/src/test/java/routerfleet/control/ReplicaStorageTest.java
+++ b/src/test/java/routerfleet/control/ReplicaStorageTest.java
@@ -50,7 +50,7 @@
         }
     }
 
-    private ReplicaStorage.Opened open() throws IOException {
+    private ReplicaStorage.StoredReplica open() throws IOException {
         try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
             return storage.open();
         }
@@ -63,7 +63,7 @@
     @Test
     void whatWasStoredIsThereAgain() throws IOException {
         fill(5);
-        ReplicaStorage.Opened opened = open();
+        ReplicaStorage.StoredReplica opened = open();
         assertThat(opened.replica(), is("a/0"));
         assertThat(opened.saved().vote(), is("b/0"));
         assertThat(opened.saved().entries().size(), is(5));
@@ -105,7 +105,7 @@
         for (int length = 0; length < freshBytes.length; length++) {
             Files.write(fresh, Arrays.copyOf(freshBytes, length));
             Files.write(old, oldBytes);
-            ReplicaStorage.Opened opened = open();
+            ReplicaStorage.StoredReplica opened = open();
             assertThat(opened, is(notNullValue()));
             assertThat(opened.saved().entries().size(), is(3));
         }
@@ -129,13 +129,13 @@
     @Test
     void nothingIsToldToBeStoredBeforeTheFolderOfItsSlotIsSynced() {
         AtomicInteger syncs = new AtomicInteger();
-        FolderDisk.FolderSync refusesOnce = synced -> {
+        DirectoryDisk.DirectorySync refusesOnce = synced -> {
             if (syncs.getAndIncrement() == 0) {
                 throw new IOException("no space left on device");
             }
         };
-        try (ReplicaStorage storage = new ReplicaStorage(new FolderDisk(folder, refusesOnce), Runnable::run,
-                new DiskWriter.Thread())) {
+        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(folder, refusesOnce), Runnable::run,
+                new DiskWriter.SingleThread())) {
             storage.start("a/0", null);
             store(storage, new Write.FullState(PersistentState.initial(VOTERS)));
             assertThat(syncs.get(), is(2));
@@ -151,12 +151,12 @@
     void aDiskThatHangsIsSeenAndFull() throws Exception {
         CompletableFuture<Void> hanging = new CompletableFuture<>();
         CompletableFuture<Void> goesOn = new CompletableFuture<>();
-        FolderDisk.FolderSync hangs = synced -> {
+        DirectoryDisk.DirectorySync hangs = synced -> {
             hanging.complete(null);
             goesOn.join();
         };
-        try (ReplicaStorage storage = new ReplicaStorage(new FolderDisk(folder, hangs), Runnable::run,
-                new DiskWriter.Thread())) {
+        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(folder, hangs), Runnable::run,
+                new DiskWriter.SingleThread())) {
             storage.open();
             storage.start("a/0", PersistentState.initial(VOTERS));
             hanging.get(20, TimeUnit.SECONDS);
@@ -166,7 +166,7 @@
                 storage.store(new Write.Vote(++writes, null), () -> last.complete(null));
             }
             assertThat(storage.isFull(), is(true));
-            assertThat(storage.waiting(), is(writes));
+            assertThat(storage.pendingWrites(), is(writes));
             assertThat(last.isDone(), is(false));
             assertThat(storage.stalledMs(), is(greaterThanOrEqualTo(0L)));
             goesOn.complete(null);
@@ -180,7 +180,7 @@
     void aFoundersFirstStateIsOnDiskBeforeItBegins() throws IOException {
         try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
             storage.open();
-            storage.found("a/0", PersistentState.initial(VOTERS));
+            storage.storeInitial("a/0", PersistentState.initial(VOTERS));
             assertThat(open().replica(), is("a/0"));
         }
     }
@@ -190,7 +190,7 @@
         fill(2);
         AtomicInteger syncs = new AtomicInteger();
         try (ReplicaStorage storage = new ReplicaStorage(
-                new FolderDisk(folder, synced -> syncs.incrementAndGet()), Runnable::run, new DiskWriter.Thread())) {
+                new DirectoryDisk(folder, synced -> syncs.incrementAndGet()), Runnable::run, new DiskWriter.SingleThread())) {
             assertThat(storage.open().saved().entries().size(), is(2));
             storage.start("a/0", null);
             store(storage, new Write.Entries(List.of(entry(3))));
--- a/src/test/java/routerfleet/control/SessionServiceTest.java
+++ b/src/test/java/routerfleet/control/SessionServiceTest.java
@@ -32,7 +32,7 @@
     private boolean dataNodesAreThere = true;
     private final ControlPeers peers = new ControlPeers("10.0.0.1", 7_001);
     private final SessionService service = new SessionService(process, table, peers,
-            holders -> holders.size() > 1 && peers.span(holders, "a", 2), () -> dataNodesAreThere, () -> { }, disk::add);
+            holders -> holders.size() > 1 && peers.spanZones(holders, "a", 2), () -> dataNodesAreThere, () -> { }, disk::add);
     private final List<PeerMessage> sent = new ArrayList<>();
     private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, new Unheard(), new Wire());
 
@@ -153,7 +153,7 @@
     }
 
     private void introduce(String ip, String zone) {
-        peers.introduced(new PeerLink(codec, process, LinkTiming.CONTROL, new Unheard(), new Wire()),
+        peers.onHello(new PeerLink(codec, process, LinkTiming.CONTROL, new Unheard(), new Wire()),
                 new PeerMessage.ControlHello("core", ip, zone, ip + "/0", List.of()), process.nanoTime());
         peers.outgoingOpened(ip, link);
     }
--- a/src/test/java/routerfleet/control/SimulatedDisk.java
+++ b/src/test/java/routerfleet/control/SimulatedDisk.java
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
+    public void syncDirectory() throws IOException {
         operate(false);
         if (!forgetsFolder) {
             entered.clear();
@@ -154,7 +154,7 @@
         }
 
         @Override
-        public void clear() throws IOException {
+        public void truncate() throws IOException {
             operate(false);
             change(new Change(0, new byte[0]));
             if (isSlot && snapshotFailsAfter >= 0) {
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public long millis() {
+        public long monotonicMs() {
             return world.nowMs();
         }
 
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -69,7 +69,7 @@
         List<HostPort> seeds = List.of(new HostPort(ip(0), PORT), new HostPort(ip(2), PORT), new HostPort(ip(3), PORT));
         LocalSettings settings = new LocalSettings("core-" + index, ip(index), ZONES[index], null, null, null, PORT, seeds,
                 bootstrap, Path.of("/"), 400, LOST, 1, java.util.Set.of("a", "b", "c", "d"), Bounds.defaults());
-        ControlParts parts = new ControlParts(LOST) {
+        ControlServiceFactory parts = new ControlServiceFactory(LOST) {
             @Override
             TallyLimits tallyBounds() {
                 return bounds;
--- a/src/test/java/routerfleet/control/TallyServiceTest.java
+++ b/src/test/java/routerfleet/control/TallyServiceTest.java
@@ -38,7 +38,7 @@
     private final ControlPeers peers = new ControlPeers("10.0.0.1", 7_001);
     private final TallyService service = new TallyService(settings(), process, peers,
             new TallyStorage(new SimulatedDisk(new Random(1), false, false), new SimulatedDisk.Writer(world, process),
-                    process), TallyLimits.DEFAULT, new ControlParts(1).tallyReach(settings(), peers));
+                    process), TallyLimits.DEFAULT, new ControlServiceFactory(1).tallyReach(settings(), peers));
 
     /** Keeps what is sent. */
     private final class Wire implements PeerLink.Carrier {
