--- a/src/test/java/routerfleet/control/ControlPlaneSimulation.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulation.java
@@ -41,7 +41,7 @@
     private final int tolerated;
     private final boolean firstConfigurationUnconfirmed;
     private final SplittableRandom random;
-    private final SimulatedMachine.Surroundings surroundings;
+    private final SimulatedMachine.Environment surroundings;
     private final SimulatedNetwork network;
     private final List<SimulatedMachine> machines = new ArrayList<>();
     private final List<DataNode> dataNodes = new ArrayList<>();
@@ -82,16 +82,16 @@
         }
     }
 
-    ControlPlaneSimulation(long seed, int tolerated, FaultPlan plan, PlantedFault fault) {
+    ControlPlaneSimulation(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
         this.tolerated = tolerated;
-        firstConfigurationUnconfirmed = fault == PlantedFault.FIRST_CONFIGURATION_UNCONFIRMED;
+        firstConfigurationUnconfirmed = fault == InjectedFault.FIRST_CONFIGURATION_UNCONFIRMED;
         random = new SplittableRandom(seed);
         PeerCodec codec = CODEC.get();
         network = new SimulatedNetwork(world, random.nextLong(), codec);
-        surroundings = new SimulatedMachine.Surroundings(world, network, codec, tolerated, fault);
+        surroundings = new SimulatedMachine.Environment(world, network, codec, tolerated, fault);
         SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault);
         int filler = random.nextInt(8) == 0 ? LARGE_FILLER : FILLER;
-        clients = new SimulatedClients(world, random.nextLong(), http, this::listed, seen, filler,
+        clients = new SimulatedClients(world, random.nextLong(), http, this::presentMachines, seen, filler,
                 filler == FILLER && random.nextInt(4) == 0);
         faults = new FaultInjector(this, world, network, http, clients, new Random(random.nextLong()));
         faultsEndMs = FAULTS_FROM_MS + FAULTS_MS;
@@ -101,18 +101,18 @@
         for (int i = 1; i <= DATA_NODES; i++) {
             dataNodes.add(new DataNode("10.0.9." + i));
         }
-        plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.strike(f)));
+        plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.inject(f)));
     }
 
     /** Codecs cost much to make, and are for one thread. */
     private static final ThreadLocal<PeerCodec> CODEC = ThreadLocal.withInitial(PeerCodec::new);
 
-    static FaultPlan plan(long seed) {
-        return FaultPlan.draw(seed * 31 + 7, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
+    static FaultPlan randomPlan(long seed) {
+        return FaultPlan.random(seed * 31 + 7, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
     }
 
     /** Plays it. @return what was wrong, in one line; null where nothing was */
-    String play() {
+    String run() {
         List<HostPort> founders = seeds();
         machines.forEach(m -> world.afterMs(random.nextInt(300), () -> m.start(true, founders)));
         dataNodes.forEach(n -> world.afterMs(random.nextInt(300), n::start));
@@ -125,7 +125,7 @@
         return wrong != null ? wrong : served();
     }
 
-    Observations seen() {
+    Observations observations() {
         return seen;
     }
 
@@ -136,7 +136,7 @@
         int readsBefore = seen.reads.size();
         List<HostPort> now = seeds();
         for (int i = 0; i < FINAL_READS; i++) {
-            listed().forEach(machine -> clients.readAt(machine, generation -> { }));
+            presentMachines().forEach(machine -> clients.readAt(machine, generation -> { }));
             world.runUntilMs(world.nowMs() + FINAL_READ_MS);
         }
         Set<String> readers = new HashSet<>();
@@ -145,8 +145,8 @@
         }
         boolean ordered = seen.orders.values().stream().anyMatch(o -> o.acknowledgedNanos() > before - 4_000_000_000L);
         if (readers.size() < 2 * tolerated + 1) {
-            return "of " + listed().size() + " only " + readers + " answer reads after the recovery; "
-                    + listed().stream().map(SimulatedMachine::describe).toList();
+            return "of " + presentMachines().size() + " only " + readers + " answer reads after the recovery; "
+                    + presentMachines().stream().map(SimulatedMachine::describe).toList();
         }
         if (!ordered) {
             return "no order is acknowledged after the recovery; newest " + newest + ", seeds " + now;
@@ -163,23 +163,23 @@
     }
 
     /** Machines that are not gone for good. */
-    List<SimulatedMachine> listed() {
+    List<SimulatedMachine> presentMachines() {
         return machines.stream().filter(m -> !m.isRemoved()).toList();
     }
 
     /** The first three machines that are not gone for good. */
     List<HostPort> seeds() {
-        return listed().stream().limit(3).map(m -> new HostPort(m.ip, SimulatedMachine.INTERNAL_PORT)).toList();
+        return presentMachines().stream().limit(3).map(m -> new HostPort(m.ip, SimulatedMachine.INTERNAL_PORT)).toList();
     }
 
     /** Something has happened that the group has to make up for, though all that are left are well. */
-    void notWell() {
+    void markUnhealthy() {
         wellSinceMs = world.nowMs();
     }
 
     /** Whether one more disk may be lost now. */
-    boolean mayLoseADisk() {
-        return machines.stream().filter(SimulatedMachine::diskLossOpen).count() < tolerated;
+    boolean mayLoseDisk() {
+        return machines.stream().filter(SimulatedMachine::diskLossPending).count() < tolerated;
     }
 
     void restartDataNode(int index, boolean starts) {
@@ -204,24 +204,24 @@
     // ---- regular checks
 
     /** Prints each node's part in the group from now on, again and again, and each fault: to look into a broken case. */
-    ControlPlaneSimulation traced(long everyMs) {
+    ControlPlaneSimulation withTrace(long everyMs) {
         System.out.println(world.nowMs() + " " + machines.stream().filter(m -> !m.isRemoved())
                 .map(SimulatedMachine::describe).toList() + " disks lost "
-                + machines.stream().filter(SimulatedMachine::diskLossOpen).map(m -> m.ip).toList());
-        world.afterMs(everyMs, () -> traced(everyMs));
+                + machines.stream().filter(SimulatedMachine::diskLossPending).map(m -> m.ip).toList());
+        world.afterMs(everyMs, () -> withTrace(everyMs));
         return this;
     }
 
     private void check() {
-        boolean allWell = listed().stream().allMatch(SimulatedMachine::isWell) && faults.isQuiet();
+        boolean allWell = presentMachines().stream().allMatch(SimulatedMachine::isHealthy) && faults.isQuiet();
         if (!allWell) {
             wellSinceMs = world.nowMs();
         } else if (world.nowMs() - wellSinceMs >= CATCH_UP_MS) {
-            machines.forEach(m -> m.diskLossOpen(false));
+            machines.forEach(m -> m.diskLossPending(false));
         }
         for (DataNode node : dataNodes) {
             if (node.client != null) {
-                seen.known.add(new Observations.Known(node.ip, world.nowNanos(), node.client.generation(),
+                seen.dataNodeStates.add(new Observations.DataNodeState(node.ip, world.nowNanos(), node.client.generation(),
                         node.client.staleMs()));
                 checkEndings(node);
                 checkServes(node);
@@ -244,7 +244,7 @@
     private void checkEndings(DataNode node) {
         long now = world.nowMs();
         boolean inTouch = now - wellSinceMs >= CALM_MS && now - node.startedMs >= CALM_MS;
-        for (SimulatedClients.Ending ending : clients.endings()) {
+        for (SimulatedClients.AcknowledgedEnd ending : clients.acknowledgedEnds()) {
             if (inTouch && now - ending.acknowledgedMs() > DRAIN_MS && node.client.isListed(ending.uid())
                     && reported.add(ending.uid())) {
                 seen.violations.add(node.ip + " still uses " + ending.uid() + ", whose end was acknowledged "
--- a/src/test/java/routerfleet/control/ControlPlaneSimulationTest.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulationTest.java
@@ -23,10 +23,10 @@
     private static final int SCENARIO_SEEDS = 3;
 
     private static String play(long seed, int tolerated, FaultPlan plan) {
-        ControlPlaneSimulation simulation = new ControlPlaneSimulation(seed, tolerated, plan, PlantedFault.NONE);
-        String wrong = simulation.play();
-        assertThat(simulation.seen().orders.size(), is(greaterThan(10)));
-        assertThat(simulation.seen().newestAcknowledged(), is(greaterThan(0L)));
+        ControlPlaneSimulation simulation = new ControlPlaneSimulation(seed, tolerated, plan, InjectedFault.NONE);
+        String wrong = simulation.run();
+        assertThat(simulation.observations().orders.size(), is(greaterThan(10)));
+        assertThat(simulation.observations().newestAcknowledged(), is(greaterThan(0L)));
         return wrong;
     }
 
@@ -34,20 +34,20 @@
     @CsvSource({"1, 12", "2, 6", "3, 3"})
     void drawnDays(int tolerated, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
-            assertThat("seed " + seed, play(seed, tolerated, ControlPlaneSimulation.plan(seed)), is(nullValue()));
+            assertThat("seed " + seed, play(seed, tolerated, ControlPlaneSimulation.randomPlan(seed)), is(nullValue()));
         }
     }
 
     /** Found by a campaign: the group held an earlier replica of its leader's own node for ever. */
     @Test
     void twoReplicasOfTheLeadersNode() {
-        assertThat(play(3, 2, ControlPlaneSimulation.plan(3)), is(nullValue()));
+        assertThat(play(3, 2, ControlPlaneSimulation.randomPlan(3)), is(nullValue()));
     }
 
     /** Found by a campaign: a server's end was acknowledged, all power was lost 194 ms later, and a late heartbeat came. */
     @Test
     void anEndThatWasAcknowledgedOutlivesALossOfPowerForAll() {
-        assertThat(play(1488, 1, ControlPlaneSimulation.plan(1488)), is(nullValue()));
+        assertThat(play(1488, 1, ControlPlaneSimulation.randomPlan(1488)), is(nullValue()));
     }
 
     // ---- the operators' five points
@@ -153,7 +153,7 @@
         for (long seed = 1; seed <= SNAPSHOT_SEEDS; seed++) {
             assertThat("seed " + seed, play(300 + seed, 1, powerFailsInSnapshots()), is(nullValue()));
             if (found == null) {
-                found = new ControlPlaneSimulation(300 + seed, 1, powerFailsInSnapshots(), PlantedFault.ONE_SLOT).play();
+                found = new ControlPlaneSimulation(300 + seed, 1, powerFailsInSnapshots(), InjectedFault.ONE_SLOT).run();
             }
         }
         assertThat("one slot for all snapshots is found", found, is(notNullValue()));
@@ -171,7 +171,7 @@
         int found = 0;
         for (long seed = 40; seed <= 48; seed++) {
             assertThat("seed " + seed, play(seed, 1, plan), is(nullValue()));
-            found += new ControlPlaneSimulation(seed, 1, plan, PlantedFault.FIRST_CONFIGURATION_UNCONFIRMED).play() == null
+            found += new ControlPlaneSimulation(seed, 1, plan, InjectedFault.FIRST_CONFIGURATION_UNCONFIRMED).run() == null
                     ? 0 : 1;
         }
         assertThat("the planted fault is found", found, is(greaterThan(0)));
@@ -181,14 +181,14 @@
 
     /** Those that a run of three replicas shows early; all of them stand in docs/control-state.md. */
     @ParameterizedTest
-    @EnumSource(value = PlantedFault.class, names = {"LEADERSHIP_UNCONFIRMED", "HALF_IS_ENOUGH", "READS_UNASKED",
+    @EnumSource(value = InjectedFault.class, names = {"LEADERSHIP_UNCONFIRMED", "HALF_IS_ENOUGH", "READS_UNASKED",
         "READ_INDEX_UNAPPLIED", "ORDERS_FORGOTTEN", "REFUSED_UNCONFIRMED", "BASE_NOT_COMPARED", "UNCLEAR_TOLD_AS_TAKEN",
         "UNCLEAR_TOLD_AS_REFUSED", "NAME_KEPT", "ANY_LOG_WILL_DO", "ENTRY_SKIPPED", "SYNC_DOES_NOTHING",
         "FOLDER_IS_NOT_SYNCED", "TOLD_BEFORE_SYNCED", "ANSWERED_AS_DONE"})
-    void aPlantedFaultIsFound(PlantedFault fault) {
+    void aPlantedFaultIsFound(InjectedFault fault) {
         String found = null;
         for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
-            found = new ControlPlaneSimulation(seed, 1, ControlPlaneSimulation.plan(seed), fault).play();
+            found = new ControlPlaneSimulation(seed, 1, ControlPlaneSimulation.randomPlan(seed), fault).run();
         }
         assertThat(found, is(notNullValue()));
     }
--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -81,14 +81,14 @@
         }
     }
 
-    EvacuationSimulation(long seed, PlantedFault fault) {
+    EvacuationSimulation(long seed, InjectedFault fault) {
         random = new SplittableRandom(seed);
         network = new SimulatedNetwork(world, random.nextLong(), CODEC);
         http = new SimulatedHttp(world, random.nextLong(), fault);
-        SimulatedMachine.Surroundings surroundings = new SimulatedMachine.Surroundings(world, network, CODEC,
+        SimulatedMachine.Environment surroundings = new SimulatedMachine.Environment(world, network, CODEC,
                 CONTROL_NODES / 2, fault);
         for (int i = 1; i <= CONTROL_NODES; i++) {
-            machines.add(new SimulatedMachine("10.0.0." + i, new SimulatedMachine.Place("abcab".substring(i - 1, i), 0,
+            machines.add(new SimulatedMachine("10.0.0." + i, new SimulatedMachine.Location("abcab".substring(i - 1, i), 0,
                     ZONES), surroundings, random.nextLong()));
         }
         for (int i = 1; i <= DATA_NODES; i++) {
@@ -237,7 +237,7 @@
 
     private void check() {
         long now = world.nowMs();
-        if (troubles > 0 || !machines.stream().allMatch(SimulatedMachine::isWell)) {
+        if (troubles > 0 || !machines.stream().allMatch(SimulatedMachine::isHealthy)) {
             wellSinceMs = now;
         }
         for (Node node : nodes) {
@@ -279,7 +279,7 @@
             case 3 -> down(machine, machine::kill, forMs);
             case 4 -> {
                 machine.freeze();
-                after(forMs, machine::thaw);
+                after(forMs, machine::unfreeze);
             }
             case 5 -> wipe(machine, forMs);
             case 6 -> nodes.get(random.nextInt(DATA_NODES)).restart(300);
@@ -326,7 +326,7 @@
     private void down(SimulatedMachine machine, Runnable fault, long forMs) {
         fault.run();
         after(forMs, () -> {
-            machine.power();
+            machine.restorePower();
             machine.start(false, seeds());
         });
     }
--- a/src/test/java/routerfleet/control/EvacuationSimulationTest.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulationTest.java
@@ -19,14 +19,14 @@
     void anAcknowledgedEvacuationIsNeverUndone() {
         int acknowledged = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            EvacuationSimulation play = new EvacuationSimulation(seed, PlantedFault.NONE);
+            EvacuationSimulation play = new EvacuationSimulation(seed, InjectedFault.NONE);
             assertThat("seed " + seed, play.run(), is(nullValue()));
             acknowledged += play.acknowledged();
         }
         assertThat(acknowledged, is(greaterThan(SEEDS * 10)));
     }
 
-    private static String found(PlantedFault fault) {
+    private static String found(InjectedFault fault) {
         for (long seed = 1; seed <= MOST_SEEDS; seed++) {
             String wrong = new EvacuationSimulation(seed, fault).run();
             if (wrong != null) {
@@ -37,7 +37,7 @@
     }
 
     /** How often, of the moments at which the way may be cut, a zone is left as a held-up order wanted it. */
-    private static int undone(PlantedFault fault, List<Boolean> earlier, boolean heldUp, List<Boolean> later) {
+    private static int undone(InjectedFault fault, List<Boolean> earlier, boolean heldUp, List<Boolean> later) {
         int undone = 0;
         for (long nanos = 3_000_000; nanos <= 9_000_000; nanos += 250_000) {
             EvacuationSimulation play = new EvacuationSimulation(nanos, fault);
@@ -51,20 +51,20 @@
     /** Guards EVAC: an order that comes through after later ones were acknowledged undoes none of them. */
     @Test
     void anOrderThatWasHeldUpByACutUndoesNoLaterOne() {
-        PlantedFault blind = PlantedFault.EVACUATION_BASE_NOT_COMPARED;
-        assertThat(undone(PlantedFault.NONE, List.of(), true, List.of(true, false)), is(0));
+        InjectedFault blind = InjectedFault.EVACUATION_BASE_NOT_COMPARED;
+        assertThat(undone(InjectedFault.NONE, List.of(), true, List.of(true, false)), is(0));
         assertThat("planted", undone(blind, List.of(), true, List.of(true, false)), is(greaterThan(0)));
     }
 
     /** Guards EVAC: a start that finds the zone evacuated is not undone by an end that was still under way. */
     @Test
     void anEndThatWasHeldUpDoesNotUndoARepeatedStart() {
-        assertThat(undone(PlantedFault.NONE, List.of(true), false, List.of(true)), is(0));
+        assertThat(undone(InjectedFault.NONE, List.of(true), false, List.of(true)), is(0));
     }
 
     /** What is acknowledged before it is stored is lost with the power. */
     @Test
     void anAcknowledgementBeforeTheDisksIsFound() {
-        assertThat(found(PlantedFault.TOLD_BEFORE_SYNCED), is(notNullValue()));
+        assertThat(found(InjectedFault.TOLD_BEFORE_SYNCED), is(notNullValue()));
     }
 }
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -52,16 +52,16 @@
         clients.onAcknowledged(() -> { });
         List.copyOf(undo).forEach(Runnable::run);
         undo.clear();
-        plane.listed().forEach(this::comeBack);
+        plane.presentMachines().forEach(this::comeBack);
         plane.startDataNodes();
     }
 
     private void comeBack(SimulatedMachine machine) {
-        machine.thaw();
-        machine.power();
+        machine.unfreeze();
+        machine.restorePower();
         machine.diskHangs(false);
         machine.diskLatencyMs(2);
-        machine.disk().full(false);
+        machine.disk().setFull(false);
         machine.start(false, plane.seeds());
     }
 
@@ -87,29 +87,29 @@
 
     private void restartAfter(SimulatedMachine machine, long afterMs) {
         later(afterMs, () -> {
-            machine.power();
+            machine.restorePower();
             machine.start(false, plane.seeds());
         });
     }
 
-    void strike(FaultPlan.Fault fault) {
+    void inject(FaultPlan.Fault fault) {
         if (over) {
             return;
         }
-        plane.seen().faults++;
-        List<SimulatedMachine> all = plane.listed();
+        plane.observations().injectedFaults++;
+        List<SimulatedMachine> all = plane.presentMachines();
         SimulatedMachine leader = all.stream().filter(m -> m.service() != null && m.service().group().isLeader()).findFirst()
                 .orElse(null);
         SimulatedMachine machine = leader != null && fault.variant() % 3 == 0 ? leader
                 : all.get(fault.target() % all.size());
         switch (fault.kind()) {
             case KILL -> kill(machine);
-            case POWER -> power(machine, fault.forMs());
+            case POWER -> power(machine, fault.durationMs());
             case POWER_IN_A_WRITE -> powerInAWrite(machine, fault);
-            case FREEZE -> freeze(machine, fault.forMs());
+            case FREEZE -> freeze(machine, fault.durationMs());
             case STOP -> stop(machine);
             case KILL_DATA_NODE -> plane.restartDataNode(fault.target(), true);
-            case WIPE -> wipe(machine, fault.forMs() / 2);
+            case WIPE -> wipe(machine, fault.durationMs() / 2);
             case REPLACE -> replace(machine, fault);
             case REPLACE_PLANNED -> replacePlanned(machine, fault);
             case DISK_SLOW, DISK_HANGS, DISK_FULL -> disk(machine, fault);
@@ -120,20 +120,20 @@
     private void strikeMany(FaultPlan.Fault fault, SimulatedMachine machine, List<SimulatedMachine> all) {
         switch (fault.kind()) {
             case CUT_OFF, CUT_OFF_FROM_ALL, CUT_ONE_WAY -> cutOff(machine, fault);
-            case SPLIT -> split(fault.forMs());
+            case SPLIT -> split(fault.durationMs());
             case RESET -> network.reset(machine.ip);
             case KILL_ALL -> all.forEach(this::kill);
-            case POWER_ALL -> all.forEach(m -> power(m, fault.forMs() / 3));
+            case POWER_ALL -> all.forEach(m -> power(m, fault.durationMs() / 3));
             case POWER_IN_SNAPSHOTS -> powerInSnapshots(all, fault);
-            case POWER_EVERYTHING -> powerEverything(fault.forMs() / 3);
+            case POWER_EVERYTHING -> powerEverything(fault.durationMs() / 3);
             case BEHIND -> behind(fault);
             case ANSWERS_LOST -> {
                 http.dropResponses(0.6);
-                later(fault.forMs(), () -> http.dropResponses(0));
+                later(fault.durationMs(), () -> http.dropResponses(0));
             }
             case SLOW_LINK -> {
                 network.slow(machine.ip, SLOW_NANOS_A_BYTE);
-                later(fault.forMs(), () -> network.slow(machine.ip, 0));
+                later(fault.durationMs(), () -> network.slow(machine.ip, 0));
             }
             case STRIKE_AFTER_ACK -> clients.onAcknowledged(() -> strikeAfterAck(fault));
             case WIPE_AND_POWER -> wipeAndPower(fault);
@@ -149,7 +149,7 @@
         if (over || world.nowMs() > untilMs) {
             return;
         }
-        for (SimulatedMachine machine : plane.listed()) {
+        for (SimulatedMachine machine : plane.presentMachines()) {
             if (machine.service() != null && !machine.isFrozen() && holds.test(machine)) {
                 strikeAt(machine, fault);
                 return;
@@ -159,17 +159,17 @@
     }
 
     private void strikeAt(SimulatedMachine machine, FaultPlan.Fault fault) {
-        List<SimulatedMachine> others = new ArrayList<>(plane.listed());
+        List<SimulatedMachine> others = new ArrayList<>(plane.presentMachines());
         others.remove(machine);
         SimulatedMachine other = others.get(fault.target() % others.size());
         switch (fault.variant() % 8) {
             case 0 -> kill(machine);
-            case 1 -> power(machine, fault.forMs() / 3);
-            case 2 -> wipe(machine, fault.forMs() / 3);
-            case 3 -> cutOff(machine, fault.as(FaultPlan.Kind.CUT_OFF));
-            case 4 -> split(fault.forMs());
-            case 5 -> wipe(other, fault.forMs() / 3);
-            case 6 -> plane.listed().forEach(this::kill);
+            case 1 -> power(machine, fault.durationMs() / 3);
+            case 2 -> wipe(machine, fault.durationMs() / 3);
+            case 3 -> cutOff(machine, fault.withKind(FaultPlan.Kind.CUT_OFF));
+            case 4 -> split(fault.durationMs());
+            case 5 -> wipe(other, fault.durationMs() / 3);
+            case 6 -> plane.presentMachines().forEach(this::kill);
             default -> wipeAndPower(fault);
         }
     }
@@ -198,23 +198,23 @@
                     machine.losePower();
                 }
                 machine.disk().failPowerAfter(-1); // killed meanwhile: it is not to fail in a later life
-                restartAfter(machine, over ? 0 : fault.forMs() / 3);
+                restartAfter(machine, over ? 0 : fault.durationMs() / 3);
             });
         }
     }
 
     /** Each machine loses its power in the midst of its next snapshot, at the same of its operations. */
     private void powerInSnapshots(List<SimulatedMachine> all, FaultPlan.Fault fault) {
-        all.forEach(m -> m.disk().failPowerInASnapshotAfter(fault.variant() % 4));
-        later(fault.forMs(), () -> {
-            all.forEach(m -> m.disk().failPowerInASnapshotAfter(-1));
+        all.forEach(m -> m.disk().failPowerInSnapshotAfter(fault.variant() % 4));
+        later(fault.durationMs(), () -> {
+            all.forEach(m -> m.disk().failPowerInSnapshotAfter(-1));
             all.stream().filter(m -> !m.isUp()).forEach(m -> restartAfter(m, over ? 0 : RESTART_MS));
         });
     }
 
     private void freeze(SimulatedMachine machine, long forMs) {
         machine.freeze();
-        later(forMs, machine::thaw);
+        later(forMs, machine::unfreeze);
     }
 
     private void stop(SimulatedMachine machine) {
@@ -225,7 +225,7 @@
     }
 
     private void wipe(SimulatedMachine machine, long forMs) {
-        if (plane.mayLoseADisk() && !machine.diskLossOpen()) {
+        if (plane.mayLoseDisk() && !machine.diskLossPending()) {
             machine.wipe();
             restartAfter(machine, 100 + forMs);
         } else {
@@ -234,28 +234,28 @@
     }
 
     private void replace(SimulatedMachine machine, FaultPlan.Fault fault) {
-        if (plane.mayLoseADisk() && !machine.diskLossOpen()) {
+        if (plane.mayLoseDisk() && !machine.diskLossPending()) {
             machine.remove();
             SimulatedMachine successor = plane.addMachine();
-            successor.diskLossOpen(true);
-            restartAfter(successor, 200 + fault.forMs() / 3);
+            successor.diskLossPending(true);
+            restartAfter(successor, 200 + fault.durationMs() / 3);
         }
     }
 
     private void replacePlanned(SimulatedMachine machine, FaultPlan.Fault fault) {
-        if (!plane.mayLoseADisk() || machine.diskLossOpen()) {
+        if (!plane.mayLoseDisk() || machine.diskLossPending()) {
             return;
         }
         SimulatedMachine successor = plane.addMachine();
-        successor.diskLossOpen(true);
-        machine.diskLossOpen(true);
+        successor.diskLossPending(true);
+        machine.diskLossPending(true);
         restartAfter(successor, 0);
-        later(1_500 + fault.forMs() / 3, () -> {
+        later(1_500 + fault.durationMs() / 3, () -> {
             Runnable remove = () -> world.after(0, () -> {
                 if (!machine.isRemoved() && !over) {
                     machine.remove();
-                    plane.notWell();
-                    successor.diskLossOpen(true); // it may have been killed, and so not have left in order
+                    plane.markUnhealthy();
+                    successor.diskLossPending(true); // it may have been killed, and so not have left in order
                 }
             });
             if (machine.isUp() && machine.service() != null && !over) {
@@ -264,7 +264,7 @@
             } else if (!over) {
                 remove.run();
             } else {
-                machine.diskLossOpen(false);
+                machine.diskLossPending(false);
             }
         });
     }
@@ -273,19 +273,19 @@
         switch (fault.kind()) {
             case DISK_SLOW -> machine.diskLatencyMs(SLOW_DISK_MS);
             case DISK_HANGS -> machine.diskHangs(true);
-            default -> machine.disk().full(true);
+            default -> machine.disk().setFull(true);
         }
-        later(fault.forMs(), () -> {
+        later(fault.durationMs(), () -> {
             machine.diskLatencyMs(2);
             machine.diskHangs(false);
-            machine.disk().full(false);
+            machine.disk().setFull(false);
         });
     }
 
     // ---- links
 
     private void cutOff(SimulatedMachine machine, FaultPlan.Fault fault) {
-        List<String> others = new ArrayList<>(plane.listed().stream().map(m -> m.ip).toList());
+        List<String> others = new ArrayList<>(plane.presentMachines().stream().map(m -> m.ip).toList());
         others.remove(machine.ip);
         if (fault.kind() == FaultPlan.Kind.CUT_OFF_FROM_ALL) {
             others.addAll(plane.dataNodeAddresses());
@@ -300,11 +300,11 @@
                 made.add(other + ">" + machine.ip);
             }
         }
-        cut(made, fault.forMs());
+        cut(made, fault.durationMs());
     }
 
     private void split(long forMs) {
-        List<SimulatedMachine> all = new ArrayList<>(plane.listed());
+        List<SimulatedMachine> all = new ArrayList<>(plane.presentMachines());
         Collections.shuffle(all, random);
         List<String> made = new ArrayList<>();
         for (int i = 0; i < all.size() / 2; i++) {
@@ -332,12 +332,12 @@
             plane.restartDataNode(i, false);
         }
         later(forMs, plane::startDataNodes);
-        plane.listed().forEach(m -> power(m, forMs));
+        plane.presentMachines().forEach(m -> power(m, forMs));
     }
 
     /** A minority misses changes; then one of the others loses its disk, the rest are dark, and the cut heals. */
     private void behind(FaultPlan.Fault fault) {
-        List<SimulatedMachine> all = new ArrayList<>(plane.listed());
+        List<SimulatedMachine> all = new ArrayList<>(plane.presentMachines());
         Collections.shuffle(all, random);
         int minority = (all.size() - 1) / 2;
         List<String> made = new ArrayList<>();
@@ -347,11 +347,11 @@
                 made.add(all.get(j).ip + ">" + all.get(i).ip);
             }
         }
-        cut(made, fault.forMs());
-        world.afterMs(fault.forMs(), () -> {
+        cut(made, fault.durationMs());
+        world.afterMs(fault.durationMs(), () -> {
             if (!over) {
                 wipe(all.get(minority), 300);
-                all.subList(minority + 1, all.size()).forEach(m -> power(m, fault.forMs() / 2));
+                all.subList(minority + 1, all.size()).forEach(m -> power(m, fault.durationMs() / 2));
             }
         });
     }
@@ -368,13 +368,13 @@
         if (over) {
             return;
         }
-        List<SimulatedMachine> all = new ArrayList<>(plane.listed());
+        List<SimulatedMachine> all = new ArrayList<>(plane.presentMachines());
         Collections.shuffle(all, random);
         if (fault.variant() % 2 == 0) {
-            powerEverything(fault.forMs() / 3);
+            powerEverything(fault.durationMs() / 3);
         }
         for (SimulatedMachine machine : all) {
-            wipe(machine, fault.forMs() / 3);
+            wipe(machine, fault.durationMs() / 3);
         }
     }
 }
--- a/src/test/java/routerfleet/control/FaultPlan.java
+++ b/src/test/java/routerfleet/control/FaultPlan.java
@@ -25,17 +25,17 @@
      * @param target which machine, counted over those that are there
      * @param variant chooses among forms of the same
      */
-    record Fault(int number, long atMs, Kind kind, int target, long forMs, int variant) {
+    record Fault(int number, long atMs, Kind kind, int target, long durationMs, int variant) {
         /** The same as another kind. */
-        Fault as(Kind other) {
-            return new Fault(number, atMs, other, target, forMs, variant);
+        Fault withKind(Kind other) {
+            return new Fault(number, atMs, other, target, durationMs, variant);
         }
     }
 
     private static final int LONG_MS = 20_000;
 
     /** Draws a plan. */
-    static FaultPlan draw(long seed, long fromMs, long untilMs) {
+    static FaultPlan random(long seed, long fromMs, long untilMs) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
         int pace = 300 + random.nextInt(3_500);
--- a/src/test/java/routerfleet/control/FaultyParts.java
+++ b/src/test/java/routerfleet/control/FaultyServiceFactory.java
@@ -12,62 +12,62 @@
 import routerfleet.wire.Scheduler;
 
 /** The parts of a control service, one of them with a planted fault. */
-final class FaultyParts extends ControlServiceFactory {
+final class FaultyServiceFactory extends ControlServiceFactory {
     private static final int LEAST_REPLICAS = 3;
     private static final long REMOVED_AFTER_MS = 8_000;
 
-    private final PlantedFault fault;
+    private final InjectedFault fault;
 
-    FaultyParts(PlantedFault fault, int toleratedHosts) {
+    FaultyServiceFactory(InjectedFault fault, int toleratedHosts) {
         super(toleratedHosts);
         this.fault = fault;
     }
 
     @Override
     RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
-        return fault.agreement(settings, saved, now, actions);
+        return fault.raftNode(settings, saved, now, actions);
     }
 
     @Override
     ConfigStore configStore() {
-        return fault.store();
+        return fault.configStore();
     }
 
     @Override
     int minVoters() {
-        return fault == PlantedFault.SILENCE_REMOVES || fault == PlantedFault.REMOVED_FIRST ? 1 : super.minVoters();
+        return fault == InjectedFault.SILENCE_REMOVES || fault == InjectedFault.REMOVED_FIRST ? 1 : super.minVoters();
     }
 
     @Override
     int requiredRemoteCopies() {
-        return fault == PlantedFault.END_HELD_BY_ONE ? 0 : super.requiredRemoteCopies();
+        return fault == InjectedFault.END_HELD_BY_ONE ? 0 : super.requiredRemoteCopies();
     }
 
     @Override
     TallyAckPolicy tallyReach(LocalSettings settings, ControlPeers peers) {
-        int fewer = fault == PlantedFault.TALLY_ON_ONE_DISK_TOO_FEW ? 1 : 0;
+        int fewer = fault == InjectedFault.TALLY_ON_ONE_DISK_TOO_FEW ? 1 : 0;
         return new TallyAckPolicy(settings.toleratedHosts() + 1 - fewer, settings.toleratedZones() + 1 - fewer,
                 settings.ip(), settings.zone(), peers) {
             @Override
             long minOutageMs() {
-                return fault == PlantedFault.TALLY_CUT_OFF_AT_ONCE ? 0 : super.minOutageMs();
+                return fault == InjectedFault.TALLY_CUT_OFF_AT_ONCE ? 0 : super.minOutageMs();
             }
 
             @Override
             long minUptimeMs() {
-                return fault == PlantedFault.TALLY_CUT_OFF_AFTER_A_START ? 0 : super.minUptimeMs();
+                return fault == InjectedFault.TALLY_CUT_OFF_AFTER_A_START ? 0 : super.minUptimeMs();
             }
         };
     }
 
     @Override
     String replacementReplicaName(String ip, long number) {
-        return fault == PlantedFault.NAME_KEPT ? ReplicaNames.initial(ip) : super.replacementReplicaName(ip, number);
+        return fault == InjectedFault.NAME_KEPT ? ReplicaNames.initial(ip) : super.replacementReplicaName(ip, number);
     }
 
     @Override
     ConfigUpdateQueue orderQueue(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
-        return fault == PlantedFault.REFUSED_UNCONFIRMED ? super.orderQueue(new Unconfirmed(leader), store, loop)
+        return fault == InjectedFault.REFUSED_UNCONFIRMED ? super.orderQueue(new Unconfirmed(leader), store, loop)
                 : super.orderQueue(leader, store, loop);
     }
 
@@ -93,7 +93,7 @@
         return new FreshnessTracker(scheduler, group, peers, firstId) {
             @Override
             void whenFresh(Runnable fresh, Runnable late) {
-                if (fault == PlantedFault.READS_UNASKED) {
+                if (fault == InjectedFault.READS_UNASKED) {
                     fresh.run();
                 } else {
                     super.whenFresh(fresh, late);
@@ -102,7 +102,7 @@
 
             @Override
             void freshOnceApplied(long index, long sinceNanos) {
-                if (fault == PlantedFault.READ_INDEX_UNAPPLIED) {
+                if (fault == InjectedFault.READ_INDEX_UNAPPLIED) {
                     freshSince(sinceNanos);
                 } else {
                     super.freshOnceApplied(index, sinceNanos);
--- a/src/test/java/routerfleet/control/FaultyStore.java
+++ b/src/test/java/routerfleet/control/FaultyStore.java
@@ -11,26 +11,26 @@
 final class FaultyStore extends ConfigStore {
     private static final int SKIPPED = 9;
 
-    private final PlantedFault fault;
+    private final InjectedFault fault;
     private int applied;
 
-    FaultyStore(PlantedFault fault) {
+    FaultyStore(InjectedFault fault) {
         this.fault = fault;
     }
 
     @Override
     protected Long takenBefore(String digest) {
-        return fault == PlantedFault.ORDERS_FORGOTTEN ? null : super.takenBefore(digest);
+        return fault == InjectedFault.ORDERS_FORGOTTEN ? null : super.takenBefore(digest);
     }
 
     @Override
     protected boolean buildsOnCurrent(ConfigOrder order) {
-        return fault == PlantedFault.BASE_NOT_COMPARED || super.buildsOnCurrent(order);
+        return fault == InjectedFault.BASE_NOT_COMPARED || super.buildsOnCurrent(order);
     }
 
     @Override
     public Either<ConfigFault, Long> apply(ConfigChange change) {
-        if (fault == PlantedFault.ENTRY_SKIPPED && ++applied % SKIPPED == 0) {
+        if (fault == InjectedFault.ENTRY_SKIPPED && ++applied % SKIPPED == 0) {
             return Either.right(generation());
         }
         return super.apply(change);
@@ -38,12 +38,12 @@
 
     @Override
     public boolean apply(EvacuationOrder order) {
-        boolean blind = fault == PlantedFault.EVACUATION_BASE_NOT_COMPARED;
+        boolean blind = fault == InjectedFault.EVACUATION_BASE_NOT_COMPARED;
         return super.apply(blind ? new EvacuationOrder(evacuations().revision(), order.zone(), order.start()) : order);
     }
 
     @Override
     public Object snapshot() {
-        return fault == PlantedFault.EVACUATIONS_NOT_IN_SNAPSHOTS ? state() : super.snapshot();
+        return fault == InjectedFault.EVACUATIONS_NOT_IN_SNAPSHOTS ? state() : super.snapshot();
     }
 }
--- a/src/test/java/routerfleet/control/FaultyTallyResponses.java
+++ b/src/test/java/routerfleet/control/FaultyTallyResponses.java
@@ -9,12 +9,12 @@
     private static final int RARELY = 20;
     private static final int UNCLEAR = 504;
 
-    private final PlantedFault fault;
+    private final InjectedFault fault;
     private final ControlHttp.Handler real;
     private final Map<String, ControlHttp.Response> before = new HashMap<>();
     private int taken;
 
-    FaultyTallyResponses(PlantedFault fault, ControlHttp.Handler real) {
+    FaultyTallyResponses(InjectedFault fault, ControlHttp.Handler real) {
         this.fault = fault;
         this.real = real;
     }
@@ -27,15 +27,15 @@
 
     private ControlHttp.Response changed(ControlHttp.Request request, ControlHttp.Response response) {
         boolean adds = request.method().equals("POST");
-        if (adds && response.status() == UNCLEAR && fault == PlantedFault.TALLY_UNCLEAR_TOLD_AS_TAKEN) {
+        if (adds && response.status() == UNCLEAR && fault == InjectedFault.TALLY_UNCLEAR_TOLD_AS_TAKEN) {
             return ControlHttp.Response.ok();
         }
-        if (adds && (response.status() == UNCLEAR && fault == PlantedFault.TALLY_UNCLEAR_TOLD_AS_REFUSED
-                || response.status() == 200 && fault == PlantedFault.TALLY_REFUSED_AFTER_WRITTEN
+        if (adds && (response.status() == UNCLEAR && fault == InjectedFault.TALLY_UNCLEAR_TOLD_AS_REFUSED
+                || response.status() == 200 && fault == InjectedFault.TALLY_REFUSED_AFTER_WRITTEN
                 && ++taken % RARELY == 0)) {
             return ControlHttp.Response.error(503, "planted");
         }
-        if (!adds && response.status() == 200 && fault == PlantedFault.TALLY_READS_OF_BEFORE) {
+        if (!adds && response.status() == 200 && fault == InjectedFault.TALLY_READS_OF_BEFORE) {
             ControlHttp.Response earlier = before.remove(request.path());
             if (earlier != null) {
                 return earlier;
--- a/src/test/java/routerfleet/control/FaultyTallyStorage.java
+++ b/src/test/java/routerfleet/control/FaultyTallyStorage.java
@@ -10,10 +10,10 @@
 
 /** A journal of tallies on disk with a planted fault. */
 final class FaultyTallyStorage extends TallyStorage {
-    private final PlantedFault fault;
+    private final InjectedFault fault;
     private final Executor loop;
 
-    FaultyTallyStorage(PlantedFault fault, Disk disk, DiskWriter writer, Executor loop) {
+    FaultyTallyStorage(InjectedFault fault, Disk disk, DiskWriter writer, Executor loop) {
         super(disk, writer, loop);
         this.fault = fault;
         this.loop = loop;
@@ -45,7 +45,7 @@
 
     @Override
     void append(byte[] record, Consumer<Boolean> ended) {
-        if (fault == PlantedFault.TALLY_TOLD_BEFORE_SYNCED) {
+        if (fault == InjectedFault.TALLY_TOLD_BEFORE_SYNCED) {
             super.append(record, stored -> { });
             loop.execute(() -> ended.accept(true));
         } else {
--- a/src/test/java/routerfleet/control/GroupSimulation.java
+++ b/src/test/java/routerfleet/control/GroupSimulation.java
@@ -94,7 +94,7 @@
     }
 
     /** @return what was broken, and when; null where the group has borne everything */
-    String play(long forMs) {
+    String run(long forMs) {
         long nextLossMs = 0;
         while (nowMs < forMs) {
             nowMs += TICK_MS;
--- a/src/test/java/routerfleet/control/GroupSimulationTest.java
+++ b/src/test/java/routerfleet/control/GroupSimulationTest.java
@@ -23,7 +23,7 @@
         long losses = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
             GroupSimulation group = new GroupSimulation(seed, tolerated, NOTICE_MS);
-            assertThat("seed " + seed, group.play(PLAYED_MS), is(nullValue()));
+            assertThat("seed " + seed, group.run(PLAYED_MS), is(nullValue()));
             losses += group.losses();
         }
         assertThat(losses, is(greaterThan(5L * SEEDS)));
@@ -34,7 +34,7 @@
     void theCheckFindsAGroupThatKeepsWhatIsGone() {
         String broken = null;
         for (long seed = 0; seed < SEEDS && broken == null; seed++) {
-            broken = new GroupSimulation(seed, 1, NOTICE_MS + 6_500).play(PLAYED_MS);
+            broken = new GroupSimulation(seed, 1, NOTICE_MS + 6_500).run(PLAYED_MS);
         }
         assertThat(broken, is(notNullValue()));
     }
--- a/src/test/java/routerfleet/control/HistoryChecker.java
+++ b/src/test/java/routerfleet/control/HistoryChecker.java
@@ -159,7 +159,7 @@
 
     /** What a data node takes for known to be the newest has to hold all that was acknowledged up to that point. */
     private String dataNodes() {
-        for (Observations.Known known : seen.known) {
+        for (Observations.DataNodeState known : seen.dataNodeStates) {
             if (known.staleMs() > 1_000_000) {
                 continue;
             }
--- a/src/test/java/routerfleet/control/PlantedFault.java
+++ b/src/test/java/routerfleet/control/InjectedFault.java
@@ -6,7 +6,7 @@
 import routerfleet.simulation.VirtualProcess;
 
 /** Faults that are put into a simulated control plane, to see that the simulation finds them. */
-enum PlantedFault {
+enum InjectedFault {
     NONE,
 
     /** A leader takes its own word for a majority's. */
@@ -98,18 +98,18 @@
     TALLY_READS_OF_BEFORE;
 
     /** Whether it is about tallies, and shown by a {@link TallySimulation} only. */
-    boolean isOfTallies() {
+    boolean isTallyFault() {
         return name().startsWith("TALLY_");
     }
 
     /** The parts that a control service with this fault is made of. */
-    ControlServiceFactory parts(int toleratedHosts) {
-        return this == NONE ? new ControlServiceFactory(toleratedHosts) : new FaultyParts(this, toleratedHosts);
+    ControlServiceFactory serviceFactory(int toleratedHosts) {
+        return this == NONE ? new ControlServiceFactory(toleratedHosts) : new FaultyServiceFactory(this, toleratedHosts);
     }
 
     /** The HTTP handler with this fault. */
     ControlHttp.Handler handler(ControlHttp.Handler real) {
-        if (isOfTallies()) {
+        if (isTallyFault()) {
             return new FaultyTallyResponses(this, real);
         }
         int told = this == UNCLEAR_TOLD_AS_TAKEN ? 200 : this == UNCLEAR_TOLD_AS_REFUSED ? 412 : 0;
@@ -135,7 +135,7 @@
         return new ReplicaStorage(disk, life, writer) {
             @Override
             TallyStorage tallies() {
-                return isOfTallies() ? new FaultyTallyStorage(PlantedFault.this, disk, writer, life) : super.tallies();
+                return isTallyFault() ? new FaultyTallyStorage(InjectedFault.this, disk, writer, life) : super.tallies();
             }
 
             @Override
@@ -143,7 +143,7 @@
                 return new SessionStorage(disk, writer, life, codec) {
                     @Override
                     void save(Runnable kept) {
-                        boolean early = PlantedFault.this == END_TOLD_BEFORE_SYNCED;
+                        boolean early = InjectedFault.this == END_TOLD_BEFORE_SYNCED;
                         super.save(early ? () -> { } : kept);
                         if (early) {
                             life.execute(kept);
@@ -154,12 +154,12 @@
 
             @Override
             int nextSlot(int inUse) {
-                return PlantedFault.this == ONE_SLOT ? inUse : super.nextSlot(inUse);
+                return InjectedFault.this == ONE_SLOT ? inUse : super.nextSlot(inUse);
             }
 
             @Override
             void store(rowanplank.agreement.Write write, Runnable stored) {
-                if (PlantedFault.this == TOLD_BEFORE_SYNCED) {
+                if (InjectedFault.this == TOLD_BEFORE_SYNCED) {
                     super.store(write, () -> { });
                     life.execute(stored);
                 } else {
@@ -170,13 +170,13 @@
     }
 
     /** Makes the agreement with this fault. */
-    RaftNode agreement(RaftNode.Settings settings, rowanplank.agreement.PersistentState saved, java.time.Instant now,
+    RaftNode raftNode(RaftNode.Settings settings, rowanplank.agreement.PersistentState saved, java.time.Instant now,
             RaftNode.Actions actions) {
-        return new FaultyAgreement(this, settings, saved, now, actions);
+        return new FaultyRaftNode(this, settings, saved, now, actions);
     }
 
     /** Makes the store with this fault. */
-    ConfigStore store() {
+    ConfigStore configStore() {
         return new FaultyStore(this);
     }
 }
--- a/src/test/java/routerfleet/control/Observations.java
+++ b/src/test/java/routerfleet/control/Observations.java
@@ -40,15 +40,15 @@
     record Read(String node, long sentNanos, long answeredNanos, long generation, String document) { }
 
     /** A data node's state at one moment. */
-    record Known(String node, long atNanos, long generation, long staleMs) { }
+    record DataNodeState(String node, long atNanos, long generation, long staleMs) { }
 
     final Map<String, Order> orders = new TreeMap<>();
     final List<Read> reads = new ArrayList<>();
-    final List<Known> known = new ArrayList<>();
+    final List<DataNodeState> dataNodeStates = new ArrayList<>();
     /** What was seen to be wrong at once, without looking at the whole. */
     final List<String> violations = new ArrayList<>();
     int drainsAcknowledged;
-    int faults;
+    int injectedFaults;
 
     /** The newest acknowledged configuration; 0 for none. */
     long newestAcknowledged() {
--- a/src/test/java/routerfleet/control/PowerReturnTest.java
+++ b/src/test/java/routerfleet/control/PowerRestoreTest.java
@@ -24,7 +24,7 @@
  * How soon data nodes can serve again after all machines have lost power, in virtual time: what the protocol waits for,
  * without the processor time of a start. Servers send their next heartbeat only seconds later.
  */
-class PowerReturnTest {
+class PowerRestoreTest {
     private static final int SEEDS = 40;
     private static final int ENDING_SEEDS = 5;
     private static final int CONTROL_NODES = 5;
@@ -51,13 +51,13 @@
         private int firstServer = 1;
 
         Play(long seed) {
-            this(seed, PlantedFault.NONE);
+            this(seed, InjectedFault.NONE);
         }
 
-        Play(long seed, PlantedFault fault) {
+        Play(long seed, InjectedFault fault) {
             random = new SplittableRandom(seed);
             network = new SimulatedNetwork(world, seed, codec);
-            SimulatedMachine.Surroundings surroundings = new SimulatedMachine.Surroundings(world, network, codec,
+            SimulatedMachine.Environment surroundings = new SimulatedMachine.Environment(world, network, codec,
                     CONTROL_NODES / 2, fault);
             for (int i = 1; i <= CONTROL_NODES; i++) {
                 machines.add(new SimulatedMachine("10.0.0." + i, surroundings, random.nextLong()));
@@ -133,7 +133,7 @@
 
         private void comeBack() {
             world.runUntilMs(BACK_MS);
-            machines.forEach(SimulatedMachine::power);
+            machines.forEach(SimulatedMachine::restorePower);
             start(false);
         }
 
@@ -168,7 +168,7 @@
     }
 
     /** Whether a server is used again by a late heartbeat, where power fails in the moment its end is acknowledged. */
-    private boolean comesBack(long seed, PlantedFault fault) {
+    private boolean comesBack(long seed, InjectedFault fault) {
         Play play = new Play(seed, fault);
         play.begin();
         play.firstServer = 2;
@@ -191,8 +191,8 @@
     void anEndOutlivesALossOfPowerInTheMomentOfItsAcknowledgement() {
         boolean found = false;
         for (long seed = 1; seed <= ENDING_SEEDS; seed++) {
-            assertThat("seed " + seed, comesBack(seed, PlantedFault.NONE), is(false));
-            found |= comesBack(seed, PlantedFault.END_TOLD_BEFORE_SYNCED);
+            assertThat("seed " + seed, comesBack(seed, InjectedFault.NONE), is(false));
+            found |= comesBack(seed, InjectedFault.END_TOLD_BEFORE_SYNCED);
         }
         assertThat("the planted fault is found", found, is(true));
     }
--- a/src/test/java/routerfleet/control/ReplacementSimulation.java
+++ b/src/test/java/routerfleet/control/QuotaReplacementSimulation.java
@@ -16,7 +16,7 @@
  * One tenant's limit while control nodes are cut off, replaced, restarted and come back, in virtual time: data nodes ask
  * every control node that there is, all the time, for more than the limit.
  */
-final class ReplacementSimulation {
+final class QuotaReplacementSimulation {
     /** What a control node that is cut off believes of its own view. */
     enum Fault {
         /** As the product has it: how old its last confirmation is. */
@@ -65,7 +65,7 @@
     private double inWindow;
     private double mostInWindow;
 
-    ReplacementSimulation(long seed, Fault fault) {
+    QuotaReplacementSimulation(long seed, Fault fault) {
         random = new Random(seed);
         this.fault = fault;
         for (int i = 1; i <= MACHINES; i++) {
@@ -82,7 +82,7 @@
     }
 
     /** Plays so long. @return the most that was granted in any window */
-    double play(long lengthMs) {
+    double run(long lengthMs) {
         for (; nowMs < lengthMs; nowMs += STEP_MS) {
             if (nowMs % REVIEW_MS == 0) {
                 trouble();
--- a/src/test/java/routerfleet/control/SessionStorageTest.java
+++ b/src/test/java/routerfleet/control/SessionStorageTest.java
@@ -89,9 +89,9 @@
         write(server("a"));
         disk.failPowerAfter(-1);
         assertThat(process.isAlive(), is(true));
-        disk.full(true);
+        disk.setFull(true);
         write(server("b"));
-        disk.full(false);
+        disk.setFull(false);
         write(server("b"));
         restart();
         assertThat(hints.read(), is(List.of(server("b"))));
@@ -119,12 +119,12 @@
     void whatADiskRefusesIsNotToldAsKept() {
         List<String> told = new ArrayList<>();
         write(server("a"));
-        disk.full(true);
+        disk.setFull(true);
         servers = List.of(server("b"));
         hints.save(() -> told.add("b"));
         world.runUntilMs(world.nowMs() + 100);
         assertThat(told, is(empty()));
-        disk.full(false);
+        disk.setFull(false);
         hints.save(() -> told.add("again"));
         world.runUntilMs(world.nowMs() + 100);
         assertThat(told, is(List.of("again")));
@@ -139,9 +139,9 @@
                 restart();
                 write(server("a"));
                 write(server("b"));
-                disk.full(true);
+                disk.setFull(true);
                 write(server("c"));
-                disk.full(false);
+                disk.setFull(false);
                 disk.failPowerAfter(operations);
                 write(server("d"));
                 disk.losePower();
--- a/src/test/java/routerfleet/control/SimulatedClients.java
+++ b/src/test/java/routerfleet/control/SimulatedClients.java
@@ -28,10 +28,10 @@
     private long endMs;
     private int lastServer;
     private Runnable onAcknowledged = () -> { };
-    private final List<Ending> endings = new ArrayList<>();
+    private final List<AcknowledgedEnd> endings = new ArrayList<>();
 
     /** A server whose end was acknowledged. */
-    record Ending(String uid, long acknowledgedMs) { }
+    record AcknowledgedEnd(String uid, long acknowledgedMs) { }
 
     /**
      * @param filler bytes that each configuration is larger by
@@ -68,7 +68,7 @@
         onAcknowledged = strike;
     }
 
-    List<Ending> endings() {
+    List<AcknowledgedEnd> acknowledgedEnds() {
         return endings;
     }
 
@@ -250,7 +250,7 @@
 
         private void acknowledged() {
             seen.drainsAcknowledged++;
-            endings.add(new Ending(uid, world.nowMs()));
+            endings.add(new AcknowledgedEnd(uid, world.nowMs()));
         }
 
         private void deregister(boolean first) {
--- a/src/test/java/routerfleet/control/SimulatedDisk.java
+++ b/src/test/java/routerfleet/control/SimulatedDisk.java
@@ -46,7 +46,7 @@
         this.forgetsFolder = forgetsFolder;
     }
 
-    void full(boolean isFull) {
+    void setFull(boolean isFull) {
         full = isFull;
     }
 
@@ -56,7 +56,7 @@
     }
 
     /** Sets the power to fail so many operations after the next snapshot's slot is cleared; negative for never. */
-    void failPowerInASnapshotAfter(int operations) {
+    void failPowerInSnapshotAfter(int operations) {
         snapshotFailsAfter = operations;
     }
 
@@ -197,12 +197,12 @@
         }
 
         /** Each write takes so long. */
-        void latencyMs(long changed) {
+        void setLatencyMs(long changed) {
             latencyMs = changed;
         }
 
         /** Answers nothing, or goes on. */
-        void hang(boolean hangs) {
+        void setHanging(boolean hangs) {
             hanging = hangs;
             next();
         }
--- a/src/test/java/routerfleet/control/SimulatedHttp.java
+++ b/src/test/java/routerfleet/control/SimulatedHttp.java
@@ -33,15 +33,15 @@
 
     private final VirtualWorld world;
     private final Random random;
-    private final PlantedFault fault;
+    private final InjectedFault fault;
     private final Links ways;
     private double lostAnswers;
 
-    SimulatedHttp(VirtualWorld world, long seed, PlantedFault fault) {
+    SimulatedHttp(VirtualWorld world, long seed, InjectedFault fault) {
         this(world, seed, fault, (from, to) -> true);
     }
 
-    SimulatedHttp(VirtualWorld world, long seed, PlantedFault fault, Links ways) {
+    SimulatedHttp(VirtualWorld world, long seed, InjectedFault fault, Links ways) {
         this.ways = ways;
         this.fault = fault;
         this.world = world;
--- a/src/test/java/routerfleet/control/SimulatedMachine.java
+++ b/src/test/java/routerfleet/control/SimulatedMachine.java
@@ -23,17 +23,17 @@
     private static final long LOAD_RETRY_MS = 100;
 
     /** What all machines of a run share. */
-    record Surroundings(VirtualWorld world, SimulatedNetwork network, PeerCodec codec, int toleratedHosts,
-            PlantedFault fault) { }
+    record Environment(VirtualWorld world, SimulatedNetwork network, PeerCodec codec, int toleratedHosts,
+            InjectedFault fault) { }
 
     /** Where a machine stands. @param toleratedZones how many zones may be lost at once */
-    record Place(String zone, int toleratedZones, Set<String> zones) {
-        static final Place ONLY = new Place("a", 0, Set.of("a"));
+    record Location(String zone, int toleratedZones, Set<String> zones) {
+        static final Location SINGLE_ZONE = new Location("a", 0, Set.of("a"));
     }
 
     final String ip;
-    private final Place place;
-    private final Surroundings surroundings;
+    private final Location place;
+    private final Environment surroundings;
     private final SplittableRandom random;
     private SimulatedDisk disk;
     private SimulatedDisk.Writer writer;
@@ -50,11 +50,11 @@
     private int lives;
     private UnaryOperator<ControlHttp.Handler> intercepting = UnaryOperator.identity();
 
-    SimulatedMachine(String ip, Surroundings surroundings, long seed) {
-        this(ip, Place.ONLY, surroundings, seed);
+    SimulatedMachine(String ip, Environment surroundings, long seed) {
+        this(ip, Location.SINGLE_ZONE, surroundings, seed);
     }
 
-    SimulatedMachine(String ip, Place place, Surroundings surroundings, long seed) {
+    SimulatedMachine(String ip, Location place, Environment surroundings, long seed) {
         this.ip = ip;
         this.place = place;
         this.surroundings = surroundings;
@@ -64,8 +64,8 @@
 
     private void newDisk() {
         disk = new SimulatedDisk(new java.util.Random(random.nextLong()),
-                surroundings.fault() == PlantedFault.SYNC_DOES_NOTHING,
-                surroundings.fault() == PlantedFault.FOLDER_IS_NOT_SYNCED);
+                surroundings.fault() == InjectedFault.SYNC_DOES_NOTHING,
+                surroundings.fault() == InjectedFault.FOLDER_IS_NOT_SYNCED);
     }
 
     /** Starts a process. @param bootstrap whether the whole system starts for the first time */
@@ -78,15 +78,15 @@
         VirtualProcess life = new VirtualProcess(surroundings.world(), random.nextLong() >> 2, () -> losePower());
         process = life;
         writer = new SimulatedDisk.Writer(surroundings.world(), life);
-        writer.latencyMs(diskLatencyMs);
-        writer.hang(diskHangs);
+        writer.setLatencyMs(diskLatencyMs);
+        writer.setHanging(diskHangs);
         ReplicaStorage storage = surroundings.fault().storage(disk, life, writer);
         LocalSettings settings = new LocalSettings("core-" + ip, ip, place.zone(), null, null, null, INTERNAL_PORT,
                 seeds, bootstrap, Path.of("/"), HEARTBEAT_MS, surroundings.toleratedHosts(), place.toleratedZones(),
                 place.zones(), Bounds.defaults());
         RandomGenerator draws = random.split();
         ControlService started = new ControlService(settings, life, surroundings.network().of(ip, life),
-                surroundings.codec(), storage, draws, surroundings.fault().parts(surroundings.toleratedHosts()));
+                surroundings.codec(), storage, draws, surroundings.fault().serviceFactory(surroundings.toleratedHosts()));
         load(life, started, draws);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /** Whether it runs and nothing is the matter with it. */
-    boolean isWell() {
+    boolean isHealthy() {
         return isUp() && service != null && !frozen && !diskHangs && diskLatencyMs <= 2;
     }
 
@@ -152,7 +152,7 @@
     }
 
     /** How many processes have been started here. */
-    int lives() {
+    int processStarts() {
         return lives;
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** Power again; a process starts by itself. */
-    void power() {
+    void restorePower() {
         powered = true;
         surroundings.network().lighten(ip);
     }
@@ -207,11 +207,11 @@
         removed = true;
     }
 
-    boolean diskLossOpen() {
+    boolean diskLossPending() {
         return diskLossOpen;
     }
 
-    void diskLossOpen(boolean open) {
+    void diskLossPending(boolean open) {
         diskLossOpen = open;
     }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    void thaw() {
+    void unfreeze() {
         if (frozen) {
             frozen = false;
             process.thaw();
@@ -232,14 +232,14 @@
     void diskLatencyMs(long latencyMs) {
         diskLatencyMs = latencyMs;
         if (isUp()) {
-            writer.latencyMs(latencyMs);
+            writer.setLatencyMs(latencyMs);
         }
     }
 
     void diskHangs(boolean hangs) {
         diskHangs = hangs;
         if (isUp()) {
-            writer.hang(hangs);
+            writer.setHanging(hangs);
         }
     }
 }
--- a/src/test/java/routerfleet/control/SimulationCampaign.java
+++ b/src/test/java/routerfleet/control/SimulationCampaign.java
@@ -26,7 +26,7 @@
         long first = Long.parseLong(arguments[1]);
         int count = Integer.parseInt(arguments[2]);
         int threads = Integer.parseInt(arguments[3]);
-        PlantedFault fault = arguments.length > 4 ? PlantedFault.valueOf(arguments[4]) : PlantedFault.NONE;
+        InjectedFault fault = arguments.length > 4 ? InjectedFault.valueOf(arguments[4]) : InjectedFault.NONE;
         AtomicInteger broken = new AtomicInteger();
         AtomicLong next = new AtomicLong(first);
         List<Thread> all = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
@@ -45,18 +45,18 @@
 
     /** Shows one run with the fewest faults that break it. */
     private static void trace(int tolerated, long seed, long everyMs) {
-        FaultPlan fewest = shrunk(seed, tolerated, ControlPlaneSimulation.plan(seed), PlantedFault.NONE);
+        FaultPlan fewest = shrunk(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), InjectedFault.NONE);
         fewest.faults().forEach(System.out::println);
-        System.out.println(new ControlPlaneSimulation(seed, tolerated, fewest, PlantedFault.NONE).traced(everyMs).play());
+        System.out.println(new ControlPlaneSimulation(seed, tolerated, fewest, InjectedFault.NONE).withTrace(everyMs).run());
     }
 
     /** Says of each planted fault in which run it is found first. @param most runs of three replicas, then of five */
     private static void findPlanted(int most, int threads) throws InterruptedException {
         AtomicInteger next = new AtomicInteger(1);
         List<Thread> all = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
-            for (int f = next.getAndIncrement(); f < PlantedFault.values().length; f = next.getAndIncrement()) {
-                PlantedFault fault = PlantedFault.values()[f];
-                if (fault.isOfTallies()) {
+            for (int f = next.getAndIncrement(); f < InjectedFault.values().length; f = next.getAndIncrement()) {
+                InjectedFault fault = InjectedFault.values()[f];
+                if (fault.isTallyFault()) {
                     continue;
                 }
                 String found = found(fault, 1, most);
@@ -69,9 +69,9 @@
         }
     }
 
-    private static String found(PlantedFault fault, int tolerated, int most) {
+    private static String found(InjectedFault fault, int tolerated, int most) {
         for (int seed = 1; seed <= most; seed++) {
-            String wrong = wrong(seed, tolerated, ControlPlaneSimulation.plan(seed), fault);
+            String wrong = wrong(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), fault);
             if (wrong != null) {
                 return (2 * tolerated + 1) + " replicas, run " + seed + ": " + wrong;
             }
@@ -79,8 +79,8 @@
         return null;
     }
 
-    private static void play(long seed, int tolerated, PlantedFault fault, AtomicInteger broken) {
-        FaultPlan plan = ControlPlaneSimulation.plan(seed);
+    private static void play(long seed, int tolerated, InjectedFault fault, AtomicInteger broken) {
+        FaultPlan plan = ControlPlaneSimulation.randomPlan(seed);
         String wrong = wrong(seed, tolerated, plan, fault);
         if (wrong != null && broken.incrementAndGet() <= 3) {
             FaultPlan fewest = shrunk(seed, tolerated, plan, fault);
@@ -91,15 +91,15 @@
         }
     }
 
-    private static String wrong(long seed, int tolerated, FaultPlan plan, PlantedFault fault) {
+    private static String wrong(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
         try {
-            return new ControlPlaneSimulation(seed, tolerated, plan, fault).play();
+            return new ControlPlaneSimulation(seed, tolerated, plan, fault).run();
         } catch (RuntimeException e) {
             return "failed: " + e;
         }
     }
 
-    private static FaultPlan shrunk(long seed, int tolerated, FaultPlan plan, PlantedFault fault) {
+    private static FaultPlan shrunk(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
         FaultPlan fewest = plan;
         for (FaultPlan.Fault left : plan.faults()) {
             FaultPlan fewer = fewest.without(left);
--- a/src/test/java/routerfleet/control/TallyCampaign.java
+++ b/src/test/java/routerfleet/control/TallyCampaign.java
@@ -15,8 +15,8 @@
     private static final int MOST_SHRUNK = 3;
 
     /** Faults of the disk itself, which strike tallies too. */
-    private static final Set<PlantedFault> OF_DISKS =
-            EnumSet.of(PlantedFault.SYNC_DOES_NOTHING, PlantedFault.FOLDER_IS_NOT_SYNCED);
+    private static final Set<InjectedFault> OF_DISKS =
+            EnumSet.of(InjectedFault.SYNC_DOES_NOTHING, InjectedFault.FOLDER_IS_NOT_SYNCED);
 
     private TallyCampaign() { }
 
@@ -32,7 +32,7 @@
         int tolerated = Integer.parseInt(arguments[0]);
         long first = Long.parseLong(arguments[1]);
         int count = Integer.parseInt(arguments[2]);
-        PlantedFault fault = arguments.length > 4 ? PlantedFault.valueOf(arguments[4]) : PlantedFault.NONE;
+        InjectedFault fault = arguments.length > 4 ? InjectedFault.valueOf(arguments[4]) : InjectedFault.NONE;
         AtomicInteger broken = new AtomicInteger();
         AtomicLong next = new AtomicLong(first);
         Thread[] all = IntStream.range(0, Integer.parseInt(arguments[3])).mapToObj(i -> new Thread(() -> {
@@ -53,25 +53,25 @@
 
     /** Says of each planted fault in which run it is found first. @param most runs of three nodes, then of five */
     private static void findPlanted(int most) {
-        for (PlantedFault fault : PlantedFault.values()) {
-            if (fault.isOfTallies() || OF_DISKS.contains(fault)) {
+        for (InjectedFault fault : InjectedFault.values()) {
+            if (fault.isTallyFault() || OF_DISKS.contains(fault)) {
                 String found = found(fault, 1, most);
                 System.out.println(fault + " | " + (found != null ? found : found(fault, 2, most)));
             }
         }
     }
 
-    private static String found(PlantedFault fault, int tolerated, int most) {
+    private static String found(InjectedFault fault, int tolerated, int most) {
         for (int seed = 1; seed <= most; seed++) {
             String wrong = wrong(seed, tolerated, TallySimulation.plan(seed), fault);
-            if (wrong != null && wrong(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE) == null) {
+            if (wrong != null && wrong(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE) == null) {
                 return (2 * tolerated + 1) + " nodes, run " + seed + ": " + wrong;
             }
         }
         return null;
     }
 
-    private static void play(long seed, int tolerated, PlantedFault fault, AtomicInteger broken) {
+    private static void play(long seed, int tolerated, InjectedFault fault, AtomicInteger broken) {
         TallyFaultPlan plan = TallySimulation.plan(seed);
         String wrong = wrong(seed, tolerated, plan, fault);
         if (wrong == null) {
@@ -87,9 +87,9 @@
 
     /** Shows one run with the fewest faults that break it, and when each struck and ended. */
     private static void trace(int tolerated, long seed) {
-        TallyFaultPlan fewest = shrunk(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE);
+        TallyFaultPlan fewest = shrunk(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE);
         fewest.faults().forEach(System.out::println);
-        TallySimulation simulation = new TallySimulation(seed, tolerated, fewest, PlantedFault.NONE);
+        TallySimulation simulation = new TallySimulation(seed, tolerated, fewest, InjectedFault.NONE);
         String wrong = String.valueOf(simulation.run());
         System.out.println(wrong);
         simulation.history().adds.stream().filter(a -> wrong.contains(" " + a + " ") || wrong.contains(" " + a + ","))
@@ -98,7 +98,7 @@
         simulation.history().disruptions.forEach(System.out::println);
     }
 
-    private static String wrong(long seed, int tolerated, TallyFaultPlan plan, PlantedFault fault) {
+    private static String wrong(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
         try {
             return new TallySimulation(seed, tolerated, plan, fault).run();
         } catch (RuntimeException e) {
@@ -106,7 +106,7 @@
         }
     }
 
-    private static TallyFaultPlan shrunk(long seed, int tolerated, TallyFaultPlan plan, PlantedFault fault) {
+    private static TallyFaultPlan shrunk(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
         TallyFaultPlan fewest = plan;
         for (TallyFaultPlan.Fault left : plan.faults()) {
             TallyFaultPlan fewer = fewest.without(left);
--- a/src/test/java/routerfleet/control/TallyClients.java
+++ b/src/test/java/routerfleet/control/TallyClients.java
@@ -207,9 +207,9 @@
 
     private void call(String zone, SimulatedMachine machine, String request, Called called) {
         long sent = world.nowNanos();
-        int life = machine.lives();
+        int life = machine.processStarts();
         http.callFrom(location(zone), machine, request, answer -> called.answered(new TallyHistory.Attempt(location(zone),
-                machine.ip, machine.lives() == life ? life : -1, sent, world.nowNanos(), answer.status()), answer.body()));
+                machine.ip, machine.processStarts() == life ? life : -1, sent, world.nowNanos(), answer.status()), answer.body()));
     }
 
     /** Control nodes in the caller's zone, then all others, in an order of its own. */
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -115,7 +115,7 @@
     }
 
     void setDiskHanging(int index, boolean hangs) {
-        nodes.get(index).writer.hang(hangs);
+        nodes.get(index).writer.setHanging(hangs);
     }
 
     /** Nothing passes between these nodes and the others, or all again. */
--- a/src/test/java/routerfleet/control/TallyFaultInjector.java
+++ b/src/test/java/routerfleet/control/TallyFaultInjector.java
@@ -60,7 +60,7 @@
     /** All has been well for long: what was lost has been made up for. */
     void lossesRepaired() {
         missed.clear();
-        core.machines().forEach(m -> m.diskLossOpen(false));
+        core.machines().forEach(m -> m.diskLossPending(false));
     }
 
     /** Ends everything that has been begun. */
@@ -177,7 +177,7 @@
             missed.add(machine.ip);
         }
         trouble(what + " " + machine.ip, false, afterMs, () -> {
-            machine.power();
+            machine.restorePower();
             machine.start(false, core.seeds());
         });
     }
@@ -214,7 +214,7 @@
         if (machine.isUp() && !machine.isFrozen()) {
             machine.freeze();
             missed.add(machine.ip);
-            trouble("freeze " + machine.ip, false, forMs, machine::thaw);
+            trouble("freeze " + machine.ip, false, forMs, machine::unfreeze);
         }
     }
 
@@ -231,18 +231,18 @@
                 trouble(what, false, fault.durationMs(), () -> machine.diskHangs(false));
             }
             default -> {
-                machine.disk().full(true);
-                trouble(what, false, fault.durationMs(), () -> machine.disk().full(false));
+                machine.disk().setFull(true);
+                trouble(what, false, fault.durationMs(), () -> machine.disk().setFull(false));
             }
         }
     }
 
     private boolean mayLoseItsDisk(SimulatedMachine machine) {
         Set<String> others = new HashSet<>(missed);
-        core.machines().stream().filter(SimulatedMachine::diskLossOpen).forEach(m -> others.add(m.ip));
+        core.machines().stream().filter(SimulatedMachine::diskLossPending).forEach(m -> others.add(m.ip));
         others.remove(machine.ip);
-        long lost = core.machines().stream().filter(SimulatedMachine::diskLossOpen).count();
-        return !machine.diskLossOpen() && lost < core.tolerated() && others.size() <= core.tolerated();
+        long lost = core.machines().stream().filter(SimulatedMachine::diskLossPending).count();
+        return !machine.diskLossPending() && lost < core.tolerated() && others.size() <= core.tolerated();
     }
 
     private void wipe(SimulatedMachine machine, long forMs) {
--- a/src/test/java/routerfleet/control/TallyPartitionTest.java
+++ b/src/test/java/routerfleet/control/TallyPartitionTest.java
@@ -133,9 +133,9 @@
     void aFullDiskRefusesAndNothingWasDone() {
         TallyCluster cluster = cluster(7);
         assertThat(cluster.addAndWait(0, "u", 7), is(200));
-        cluster.disk(0).full(true);
+        cluster.disk(0).setFull(true);
         assertThat(cluster.addAndWait(0, "v", 3), is(503));
-        cluster.disk(0).full(false);
+        cluster.disk(0).setFull(false);
         assertThat(cluster.addAndWait(0, "w", 1), is(200));
         cluster.kill(0);
         cluster.start(0, false);
--- a/src/test/java/routerfleet/control/TallySimulation.java
+++ b/src/test/java/routerfleet/control/TallySimulation.java
@@ -43,18 +43,18 @@
 
     private static final ThreadLocal<PeerCodec> CODEC = ThreadLocal.withInitial(PeerCodec::new);
 
-    TallySimulation(long seed, int tolerated, TallyFaultPlan plan, PlantedFault fault) {
+    TallySimulation(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
         this(seed, tolerated, plan, fault, machine -> UnaryOperator.identity());
     }
 
     /** @param interceptors what stands between callers and each machine's control service */
-    TallySimulation(long seed, int tolerated, TallyFaultPlan plan, PlantedFault fault,
+    TallySimulation(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault,
             Function<SimulatedMachine, UnaryOperator<ControlHttp.Handler>> interceptors) {
         this.tolerated = tolerated;
         random = new SplittableRandom(seed);
         SimulatedNetwork network = new SimulatedNetwork(world, random.nextLong(), CODEC.get());
-        SimulatedMachine.Surroundings surroundings =
-                new SimulatedMachine.Surroundings(world, network, CODEC.get(), tolerated, fault);
+        SimulatedMachine.Environment surroundings =
+                new SimulatedMachine.Environment(world, network, CODEC.get(), tolerated, fault);
         // the ways are those of the faults, which need the clients
         TallyFaultInjector[] ways = new TallyFaultInjector[1];
         SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault, (from, to) -> ways[0].canReach(from, to));
@@ -63,8 +63,8 @@
         ways[0] = faults;
         zones = drawZones();
         for (int i = 0; i < 2 * tolerated + 1; i++) {
-            SimulatedMachine.Place place =
-                    new SimulatedMachine.Place(zones.get(i % zones.size()), 1, Set.copyOf(zones));
+            SimulatedMachine.Location place =
+                    new SimulatedMachine.Location(zones.get(i % zones.size()), 1, Set.copyOf(zones));
             SimulatedMachine machine =
                     new SimulatedMachine("10.0.0." + (i + 1), place, surroundings, random.nextLong());
             machine.intercept(interceptors.apply(machine));
@@ -122,7 +122,7 @@
     }
 
     private void check() {
-        if (!faults.isIdle() || !machines.stream().allMatch(SimulatedMachine::isWell)) {
+        if (!faults.isIdle() || !machines.stream().allMatch(SimulatedMachine::isHealthy)) {
             wellSinceMs = world.nowMs();
         } else if (world.nowMs() - wellSinceMs >= CALM_MS) {
             faults.lossesRepaired();
--- a/src/test/java/routerfleet/control/TallySimulationTest.java
+++ b/src/test/java/routerfleet/control/TallySimulationTest.java
@@ -18,30 +18,30 @@
 
     private static TallySimulation standIn(long seed, int tolerated, TallyStub.Flaw flaw) {
         TallyStub standIn = new TallyStub(flaw, seed);
-        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), PlantedFault.NONE, standIn::interceptor);
+        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE, standIn::interceptor);
     }
 
-    private static String play(long seed, int tolerated, PlantedFault fault) {
+    private static String play(long seed, int tolerated, InjectedFault fault) {
         return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), fault).run();
     }
 
     @Test
     void drawnDays() {
-        assertThat("seed 3 of three nodes", play(3, 1, PlantedFault.NONE), is(nullValue()));
-        assertThat("seed 1 of five nodes", play(1, 2, PlantedFault.NONE), is(nullValue()));
+        assertThat("seed 3 of three nodes", play(3, 1, InjectedFault.NONE), is(nullValue()));
+        assertThat("seed 1 of five nodes", play(1, 2, InjectedFault.NONE), is(nullValue()));
     }
 
     /** Guards SHORT: adds waited for the next exchange of vectors, up to 900 ms, as long as others came. */
     @Test
     void addsAreServedAfterAGapInAJournal() {
-        assertThat(play(2, 1, PlantedFault.NONE), is(nullValue()));
+        assertThat(play(2, 1, InjectedFault.NONE), is(nullValue()));
     }
 
     /** Those that the first run of three nodes shows. */
     @ParameterizedTest
-    @EnumSource(value = PlantedFault.class, names = {"TALLY_TOLD_BEFORE_SYNCED", "TALLY_LAST_RECORD_FORGOTTEN",
+    @EnumSource(value = InjectedFault.class, names = {"TALLY_TOLD_BEFORE_SYNCED", "TALLY_LAST_RECORD_FORGOTTEN",
         "TALLY_UIDS_FORGOTTEN", "TALLY_REFUSED_AFTER_WRITTEN"})
-    void aPlantedFaultIsFound(PlantedFault fault) {
+    void aPlantedFaultIsFound(InjectedFault fault) {
         assertThat(play(1, 1, fault), is(notNullValue()));
     }
 
@@ -59,8 +59,8 @@
         TallyFaultPlan plan = disksAreLostRightAfterAcknowledgements();
         String found = null;
         for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
-            assertThat("seed " + seed, new TallySimulation(seed, 1, plan, PlantedFault.NONE).run(), is(nullValue()));
-            found = new TallySimulation(seed, 1, plan, PlantedFault.TALLY_ON_ONE_DISK_TOO_FEW).run();
+            assertThat("seed " + seed, new TallySimulation(seed, 1, plan, InjectedFault.NONE).run(), is(nullValue()));
+            found = new TallySimulation(seed, 1, plan, InjectedFault.TALLY_ON_ONE_DISK_TOO_FEW).run();
         }
         assertThat("one disk too few is found", found, is(notNullValue()));
     }
--- a/src/test/java/routerfleet/control/TallyStub.java
+++ b/src/test/java/routerfleet/control/TallyStub.java
@@ -52,11 +52,11 @@
     }
 
     private Map<String, Map<String, Long>> stateOf(SimulatedMachine machine) {
-        boolean fresh = !Integer.valueOf(machine.lives()).equals(lives.put(machine.ip, machine.lives()));
+        boolean fresh = !Integer.valueOf(machine.processStarts()).equals(lives.put(machine.ip, machine.processStarts()));
         if (flaw == Flaw.KEPT_IN_MEMORY && fresh) {
             byMachine.remove(machine.ip);
         }
-        if (flaw == Flaw.FORGETS_A_UID_AT_A_START && fresh && machine.lives() > 1) {
+        if (flaw == Flaw.FORGETS_A_UID_AT_A_START && fresh && machine.processStarts() > 1) {
             knownSinceStart.clear();
         }
         boolean apart = flaw == Flaw.KEPT_BY_ONE_MACHINE || flaw == Flaw.KEPT_IN_MEMORY;
