--- a/src/main/java/rowanplank/balancer/Balancer.java
+++ b/src/main/java/rowanplank/balancer/Balancer.java
@@ -73,7 +73,7 @@
     private final ColdStart coldStart;
     /** Nodes that use a server. */
     private double nodesPerServer;
-    private final Map<Long, ServerState> servers = new LinkedHashMap<>();
+    private final Map<Long, ServerState> serverStates = new LinkedHashMap<>();
     private final List<ServerState> readyServers = new ArrayList<>();
     private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
     private final List<OpenRequest> queue = new ArrayList<>();
@@ -166,7 +166,7 @@
         if (--a.server.limit.inFlight == 0) removedServers.remove(a.server.server.id(), a.server);
         if (a.probe) a.server.probePending = false;
         // Withdrawn as stuck, and nothing heard from the server since: it is silent, not one connection.
-        boolean silent = outcome == Outcome.CANCELLED && a.withdrawn && a.server.lastHeardAt < a.sentAt;
+        boolean silent = outcome == Outcome.CANCELLED && a.cancelled && a.server.lastHeardAt < a.sentAt;
         if (outcome != Outcome.OK && outcome != Outcome.MOOT) pauseColdServer(a, r);
         recordOutcome(a.server, r, silent ? Outcome.TIMEOUT : outcome, latencyMs);
         if (concluded && !r.ended) end(r);
@@ -208,14 +208,14 @@
     }
 
     private void update(Server s) {
-        if (!servers.containsKey(s.id())) addServer(s);
-        servers.get(s.id()).server = s;
+        if (!serverStates.containsKey(s.id())) addServer(s);
+        serverStates.get(s.id()).server = s;
     }
 
     private boolean isUsed(Server s) {
         // Parts of the fleet's places are whole ones: where there are any, they say which servers it uses.
         double told = actions.slotLimit(s.id());
-        return told < 0 ? subset.uses(s.id(), s.zone()) : told > 0 || servers.containsKey(s.id());
+        return told < 0 ? subset.uses(s.id(), s.zone()) : told > 0 || serverStates.containsKey(s.id());
     }
 
     private static Set<Integer> zones(Stream<Server> servers) {
@@ -232,7 +232,7 @@
         // One that was off the list for a moment still holds what was sent to it, and is as it was.
         ServerState t = before != null && s.startedAtMs() <= before.server.startedAtMs() ? before : newServerState(s);
         t.neurons = Stream.of(networks).map(RandomNeuralNetwork::addNeuron).toArray(Neuron[]::new);
-        servers.put(s.id(), t);
+        serverStates.put(s.id(), t);
         readyServers.add(t);
     }
 
@@ -247,7 +247,7 @@
     }
 
     private void removeServer(ServerState t) {
-        servers.remove(t.server.id());
+        serverStates.remove(t.server.id());
         readyServers.remove(t);
         for (int c = 0; c < networks.length; c++) networks[c].removeNeuron(t.neurons[c]);
         t.neurons = null;
@@ -519,8 +519,8 @@
             if (unheard && now - a.sentAt > 2 * r.type.targetMs()) eject(a.server, "silent");
         }
         Attempt last = r.attempts.get(r.attempts.size() - 1);
-        if (last.pending && !last.withdrawn && isStuck(r, last)) {
-            last.withdrawn = true;
+        if (last.pending && !last.cancelled && isStuck(r, last)) {
+            last.cancelled = true;
             actions.cancel(r.request.id(), r.attempts.size() - 1);
             return;
         }
--- a/src/main/java/rowanplank/balancer/BalancerState.java
+++ b/src/main/java/rowanplank/balancer/BalancerState.java
@@ -71,7 +71,7 @@
         final boolean probe;
         boolean pending = true;
         /** Given up by this node; its outcome is still to come. */
-        boolean withdrawn;
+        boolean cancelled;
         boolean neverRan;
 
         Attempt(ServerState target, double sentAt, boolean trial) {
--- a/src/test/java/rowanplank/balancer/ColdFleet.java
+++ b/src/test/java/rowanplank/balancer/ColdFleet.java
@@ -35,10 +35,10 @@
     private static final double RARE = 0.125;
 
     /** What a server does with what comes to it while it is cold; one that is down answers nothing. */
-    enum ColdBehavior { SERVES, TURNS_AWAY, FAILS, RESETS, IS_SILENT }
+    enum ColdBehavior { SERVES, REJECTS, FAILS, RESETS, NO_RESPONSE }
 
     /** Planted: each module's ramp is sized as if it were the only one; or it hears of no start. */
-    enum InjectedFault { NONE, RAMP_OF_ONE, NO_RAMP }
+    enum InjectedFault { NONE, WARMUP_FOR_ONE_NODE, NO_WARMUP }
 
     /**
      * A site and what happens there.
@@ -72,7 +72,7 @@
     private record Due(double at, long order, Runnable what) { }
 
     private Server listed(Machine m) {
-        return new Server(m.id, m.zone, 0, Lifecycle.READY, 1, plan.fault() == InjectedFault.NO_RAMP ? 0 : m.startedAt);
+        return new Server(m.id, m.zone, 0, Lifecycle.READY, 1, plan.fault() == InjectedFault.NO_WARMUP ? 0 : m.startedAt);
     }
 
     private static final class Machine {
@@ -105,11 +105,11 @@
     }
 
     private static final Rules RULES = new Rules(10_000, 0.12, 24_000, 2.5);
-    static final double FALL_MS = 1500;
+    static final double OVERLOAD_WINDOW_MS = 1500;
 
     final List<OverloadCounter> starts = new ArrayList<>();
     /** Requests that came, those served, and those served by servers in their cold time. */
-    int asked;
+    int requested;
     int served;
     int servedCold;
     private final Scenario plan;
@@ -139,7 +139,7 @@
         double aim = 8 * plan.workMs();
         RequestClass common = new RequestClass(aim, 2.5 * aim, 2, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
         RequestClass rare = new RequestClass(2 * aim, 5 * aim, 6, 0.25, Effect.REPEATABLE, DedupGroup.ALL, 0, false);
-        int of = plan.fault() == InjectedFault.RAMP_OF_ONE ? 1 : plan.nodes();
+        int of = plan.fault() == InjectedFault.WARMUP_FOR_ONE_NODE ? 1 : plan.nodes();
         return new Settings(of, node % of, node % ZONES, List.of(common, rare), List.of(), 0.1,
                 new Limits(6, true, false, 1000), RULES, false, false, false, 0.08);
     }
@@ -194,19 +194,19 @@
             double work = WORK[a.type] * (0.7 + 0.6 * random.nextDouble());
             boolean isCold = m.counter != null && now - m.startedAt < RULES.warmupMs();
             if (isCold) {
-                m.counter.came(now, work, told.getOrDefault(server, -1.0) == m.startedAt);
+                m.counter.arrived(now, work, told.getOrDefault(server, -1.0) == m.startedAt);
             }
-            boolean down = m.counter != null && m.counter.fallen;
-            ColdBehavior how = down ? ColdBehavior.IS_SILENT : isCold ? plan.cold() : ColdBehavior.SERVES;
+            boolean down = m.counter != null && m.counter.overloaded;
+            ColdBehavior how = down ? ColdBehavior.NO_RESPONSE : isCold ? plan.cold() : ColdBehavior.SERVES;
             boolean fails = how == ColdBehavior.FAILS || how == ColdBehavior.SERVES && !isCold && random.nextDouble() < plan.failing();
             double least = 0.12 + 0.88 * (now - m.startedAt) / RULES.warmupMs();
             double warm = isCold ? Math.min(1, least) : 1;
             double takes = work * plan.workMs() / warm * Math.max(1, ++m.held / (double) CORES);
             double start = m.startedAt;
             at(takes, () -> m.held -= m.startedAt == start ? 1 : 0);
-            double answers = how == ColdBehavior.IS_SILENT ? Double.MAX_VALUE : how != ColdBehavior.SERVES || fails ? 1 : takes;
+            double answers = how == ColdBehavior.NO_RESPONSE ? Double.MAX_VALUE : how != ColdBehavior.SERVES || fails ? 1 : takes;
             Outcome outcome = answers > timeoutMs ? Outcome.TIMEOUT : fails ? Outcome.ERROR
-                    : how == ColdBehavior.TURNS_AWAY ? Outcome.FULL : how == ColdBehavior.RESETS ? Outcome.RESET : Outcome.OK;
+                    : how == ColdBehavior.REJECTS ? Outcome.FULL : how == ColdBehavior.RESETS ? Outcome.RESET : Outcome.OK;
             at(Math.max(0, Math.min(answers, timeoutMs)), () -> ended(request, attempt, sentAt, outcome, isCold));
         }
 
@@ -269,7 +269,7 @@
             if (now < untilMs) {
                 Node node = nodes[random.nextInt(nodes.length)];
                 if (node != null) {
-                    node.ask(++asked);
+                    node.ask(++requested);
                 }
                 arrive(untilMs);
             }
@@ -282,7 +282,7 @@
         m.startedAt = now;
         m.held = 0;
         double warmRate = CORES / plan.workMs();
-        m.counter = new OverloadCounter(new OverloadCounter.ServerTerms(RULES.initialCapacity(), RULES.warmupMs(), RULES.overloadMultiple(), FALL_MS,
+        m.counter = new OverloadCounter(new OverloadCounter.ServerTerms(RULES.initialCapacity(), RULES.warmupMs(), RULES.overloadMultiple(), OVERLOAD_WINDOW_MS,
                 warmRate), now);
         starts.add(m.counter);
         for (Node node : nodes) {
@@ -336,16 +336,16 @@
         return this;
     }
 
-    long broken() {
-        return starts.stream().filter(c -> c.broken).count();
+    long rulesBroken() {
+        return starts.stream().filter(c -> c.ruleBroken).count();
     }
 
-    long fallen() {
-        return starts.stream().filter(c -> c.fallen).count();
+    long overloaded() {
+        return starts.stream().filter(c -> c.overloaded).count();
     }
 
     /** The most of all starts that told nodes sent in one window, as a part of what the server bears. */
-    double mostByTold() {
-        return starts.stream().mapToDouble(c -> c.mostByTold).max().orElse(0);
+    double maxInformedLoad() {
+        return starts.stream().mapToDouble(c -> c.maxInformedLoad).max().orElse(0);
     }
 }
--- a/src/test/java/rowanplank/balancer/ColdServerRacesTest.java
+++ b/src/test/java/rowanplank/balancer/ColdServerRacesTest.java
@@ -109,10 +109,10 @@
             for (Harness h : joined) {
                 int before = h.sent.size();
                 h.advance(5);
-                h.sent.subList(before, h.sent.size()).forEach(s -> counter.came(s.at(), 1, true));
+                h.sent.subList(before, h.sent.size()).forEach(s -> counter.arrived(s.at(), 1, true));
             }
         }
         joined.forEach(h -> assertTrue(h.sent.stream().noneMatch(s -> s.at() == 5000), "sent in the moment of its joining"));
-        assertFalse(counter.fallen);
+        assertFalse(counter.overloaded);
     }
 }
--- a/src/test/java/rowanplank/balancer/ColdServersTest.java
+++ b/src/test/java/rowanplank/balancer/ColdServersTest.java
@@ -27,8 +27,8 @@
 
     private static void bears(Scenario plan, long seed) {
         ColdFleet fleet = new ColdFleet(plan, seed).run();
-        assertEquals(0, fleet.broken(), () -> "servers pushed over: " + plan + ", seed " + seed);
-        assertTrue(fleet.mostByTold() < 1, () -> fleet.mostByTold() + " of what it bears: " + plan + ", seed " + seed);
+        assertEquals(0, fleet.rulesBroken(), () -> "servers pushed over: " + plan + ", seed " + seed);
+        assertTrue(fleet.maxInformedLoad() < 1, () -> fleet.maxInformedLoad() + " of what it bears: " + plan + ", seed " + seed);
     }
 
     @ParameterizedTest
@@ -61,7 +61,7 @@
     }
 
     private static long broken(Scenario plan) {
-        return new ColdFleet(plan, 1).run().broken() + new ColdFleet(plan, 2).run().broken();
+        return new ColdFleet(plan, 1).run().rulesBroken() + new ColdFleet(plan, 2).run().rulesBroken();
     }
 
     /** Planted: so the checks above can fail. */
@@ -69,15 +69,15 @@
     void rampsForOneProcessOrNoneWouldPushThemOver() {
         Scenario busy = new Scenario(24, 24, 400, 0.9, 1.6, ColdBehavior.SERVES, 0, false, InjectedFault.NONE);
         assertEquals(0, broken(busy));
-        assertTrue(broken(busy.with(InjectedFault.RAMP_OF_ONE)) > 0);
-        assertTrue(broken(busy.with(InjectedFault.NO_RAMP)) > 0);
+        assertTrue(broken(busy.with(InjectedFault.WARMUP_FOR_ONE_NODE)) > 0);
+        assertTrue(broken(busy.with(InjectedFault.NO_WARMUP)) > 0);
     }
 
     /** Guards the ramp against being so careful that servers stay cold and at rest. */
     @Test
     void coldServersTakePartInTheWork() {
         ColdFleet fleet = new ColdFleet(plan(24, 60, 85), 1).run();
-        assertTrue(fleet.served > 0.95 * fleet.asked, fleet.served + " of " + fleet.asked + " served");
+        assertTrue(fleet.served > 0.95 * fleet.requested, fleet.served + " of " + fleet.requested + " served");
         assertTrue(fleet.servedCold > 0.05 * fleet.served, fleet.servedCold + " of " + fleet.served + " by cold servers");
     }
 }
--- a/src/test/java/rowanplank/balancer/OverloadCounter.java
+++ b/src/test/java/rowanplank/balancer/OverloadCounter.java
@@ -13,7 +13,7 @@
     private static final double MOST_BY_TOLD = 2.0 / 3;
 
     /** The settings' figures, and what the server carries once it is warm, in requests of mean work a millisecond. */
-    record ServerTerms(double coldFrom, double coldMs, double fallMultiple, double fallMs, double warmRate) { }
+    record ServerTerms(double initialCapacity, double warmupMs, double overloadMultiple, double windowMs, double warmRate) { }
 
     private record Arrival(double at, double work, boolean told) { }
 
@@ -23,9 +23,9 @@
     private double all;
     private double byTold;
     /** The most that nodes that were told have sent in one window, as a part of what makes the server fall. */
-    double mostByTold;
-    boolean fallen;
-    boolean broken;
+    double maxInformedLoad;
+    boolean overloaded;
+    boolean ruleBroken;
 
     OverloadCounter(ServerTerms terms, double startedAt) {
         this.terms = terms;
@@ -33,30 +33,30 @@
     }
 
     /** Requests of mean work in one window that the server still bears at this time. */
-    double bears(double now) {
-        double age = Math.min(1, (now - startedAt) / terms.coldMs());
-        double capacity = terms.warmRate() * (terms.coldFrom() + (1 - terms.coldFrom()) * age);
-        double n = terms.fallMultiple() * capacity * terms.fallMs();
+    double overloadLimit(double now) {
+        double age = Math.min(1, (now - startedAt) / terms.warmupMs());
+        double capacity = terms.warmRate() * (terms.initialCapacity() + (1 - terms.initialCapacity()) * age);
+        double n = terms.overloadMultiple() * capacity * terms.windowMs();
         return n + 2 * Math.sqrt(n) + 2;
     }
 
     /** @param work of the request, as a part of the mean */
-    void came(double now, double work, boolean told) {
-        if (fallen || now - startedAt >= terms.coldMs()) {
+    void arrived(double now, double work, boolean told) {
+        if (overloaded || now - startedAt >= terms.warmupMs()) {
             return;
         }
         came.add(new Arrival(now, work, told));
         all += work;
         byTold += told ? work : 0;
-        while (came.peek().at() <= now - terms.fallMs()) {
+        while (came.peek().at() <= now - terms.windowMs()) {
             Arrival old = came.poll();
             all -= old.work();
             byTold -= old.told() ? old.work() : 0;
         }
-        mostByTold = Math.max(mostByTold, byTold / bears(now));
-        if (all > bears(now)) {
-            fallen = true;
-            broken = byTold > MOST_BY_TOLD * all;
+        maxInformedLoad = Math.max(maxInformedLoad, byTold / overloadLimit(now));
+        if (all > overloadLimit(now)) {
+            overloaded = true;
+            ruleBroken = byTold > MOST_BY_TOLD * all;
         }
     }
 }
--- a/src/test/java/rowanplank/balancer/OverloadCounterTest.java
+++ b/src/test/java/rowanplank/balancer/OverloadCounterTest.java
@@ -13,50 +13,50 @@
     private static OverloadCounter after(int told, int untold, double gapMs) {
         OverloadCounter counter = new OverloadCounter(TERMS, 0);
         for (int i = 0; i < told + untold; i++) {
-            counter.came(1 + i * gapMs, 1, i < told);
+            counter.arrived(1 + i * gapMs, 1, i < told);
         }
         return counter;
     }
 
     @Test
     void itFallsWithOneMoreThanItBears() {
-        assertEquals(10, new OverloadCounter(TERMS, 0).bears(0), 1e-9);
-        assertFalse(after(10, 0, 1).fallen);
-        assertTrue(after(11, 0, 1).fallen);
-        assertTrue(after(11, 0, 1).broken);
+        assertEquals(10, new OverloadCounter(TERMS, 0).overloadLimit(0), 1e-9);
+        assertFalse(after(10, 0, 1).overloaded);
+        assertTrue(after(11, 0, 1).overloaded);
+        assertTrue(after(11, 0, 1).ruleBroken);
     }
 
     @Test
     void whatCameBeforeTheWindowCountsNoMore() {
-        assertFalse(after(100, 0, 100).fallen);
-        assertTrue(after(100, 0, 90).fallen);
+        assertFalse(after(100, 0, 100).overloaded);
+        assertTrue(after(100, 0, 90).overloaded);
     }
 
     @Test
     void aFallIsABreakOnlyWhereOverTwoThirdsWereTold() {
-        assertTrue(after(7, 4, 1).fallen);
-        assertFalse(after(7, 4, 1).broken);
-        assertTrue(after(8, 3, 1).broken);
+        assertTrue(after(7, 4, 1).overloaded);
+        assertFalse(after(7, 4, 1).ruleBroken);
+        assertTrue(after(8, 3, 1).ruleBroken);
     }
 
     @Test
     void workCountsAndNotRequests() {
         OverloadCounter counter = new OverloadCounter(TERMS, 0);
         for (int i = 0; i < 20; i++) {
-            counter.came(1 + i, 0.5, true);
+            counter.arrived(1 + i, 0.5, true);
         }
-        assertFalse(counter.fallen);
-        counter.came(30, 0.5, true);
-        assertTrue(counter.broken);
+        assertFalse(counter.overloaded);
+        counter.arrived(30, 0.5, true);
+        assertTrue(counter.ruleBroken);
     }
 
     @Test
     void itBearsMoreAsItWarmsAndAllOnceItIsWarm() {
         OverloadCounter counter = new OverloadCounter(TERMS, 0);
-        assertTrue(counter.bears(500_000) > 2 * counter.bears(0));
+        assertTrue(counter.overloadLimit(500_000) > 2 * counter.overloadLimit(0));
         for (int i = 0; i < 500; i++) {
-            counter.came(1_000_000 + i, 1, true);
+            counter.arrived(1_000_000 + i, 1, true);
         }
-        assertFalse(counter.fallen);
+        assertFalse(counter.overloaded);
     }
 }
--- a/src/test/java/rowanplank/balancer/RecoveryTest.java
+++ b/src/test/java/rowanplank/balancer/RecoveryTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rowanplank.balancer.SimulatedSite.Kind;
+import rowanplank.balancer.SimulatedSite.FaultKind;
 import rowanplank.neural.Neuron;
 import rowanplank.neural.RandomNeuralNetwork;
 
@@ -31,12 +31,12 @@
     }
 
     /** One of ten servers is in trouble for 20 s, and all is well for a minute and a half after. */
-    private static SimulatedSite after(long seed, Kind kind, double size) {
+    private static SimulatedSite after(long seed, FaultKind kind, double size) {
         SimulatedSite site = new SimulatedSite(seed, 3, RATE, RARE, ALIKE.clone());
         site.run(20_000);
-        site.trouble(kind, size, TROUBLED);
+        site.injectFault(kind, size, TROUBLED);
         site.run(20_000);
-        site.trouble(Kind.NONE, 0, TROUBLED);
+        site.injectFault(FaultKind.NONE, 0, TROUBLED);
         site.run(90_000);
         return site;
     }
@@ -49,18 +49,18 @@
     @Test
     void aSilentServerIsFoundOutAndIsBackSoonAfter() {
         double share = median(seed -> {
-            SimulatedSite site = after(seed, Kind.SILENT, 1);
+            SimulatedSite site = after(seed, FaultKind.SILENT, 1);
             return site.share(TROUBLED, site.now - 100_000, site.now - 90_000, s -> true);
         });
         assertTrue(share <= 0.05, share + " of an equal share goes to a server that answers nothing");
-        double seconds = median(seed -> secondsToAnEqualShare(after(seed, Kind.SILENT, 1)));
+        double seconds = median(seed -> secondsToAnEqualShare(after(seed, FaultKind.SILENT, 1)));
         assertTrue(seconds <= 6, seconds + " s until it has its share again");
     }
 
     /** Guards servers that were slow: what is seldom drawn is seldom rewarded, and so stays seldom drawn. */
     @Test
     void aServerThatWasSlowIsNotHeldDownForLong() {
-        double seconds = median(seed -> secondsToAnEqualShare(after(seed, Kind.SLOW, 8)));
+        double seconds = median(seed -> secondsToAnEqualShare(after(seed, FaultKind.SLOW, 8)));
         assertTrue(seconds <= 20, seconds + " s until it has its share again");
     }
 
@@ -68,7 +68,7 @@
     @Test
     void aServerThatIsBackIsNotCrowded() {
         double peak = median(seed -> {
-            SimulatedSite site = after(seed, Kind.SLOW, 8);
+            SimulatedSite site = after(seed, FaultKind.SLOW, 8);
             double since = site.now - 90_000;
             double most = 0;
             for (double at = since; at < since + 20_000; at += 250) {
@@ -83,7 +83,7 @@
     private static double toTheWorst(long seed, boolean empty, double from, double to) {
         SimulatedSite site = new SimulatedSite(seed, 3, RATE, RARE, MIXED.clone());
         site.run(15_000);
-        site.trouble(Kind.SLOW, 6, WORST);
+        site.injectFault(FaultKind.SLOW, 6, WORST);
         site.run(10_000);
         if (empty) {
             site.restart(0);
--- a/src/test/java/rowanplank/balancer/SimulatedSite.java
+++ b/src/test/java/rowanplank/balancer/SimulatedSite.java
@@ -37,7 +37,7 @@
     private static final double PAUSE_EVERY = 1500;
 
     /** What a server does to a try that begins while it is in trouble. */
-    enum Kind { NONE, SLOW, PAUSES, RESETS, SILENT }
+    enum FaultKind { NONE, SLOW, PAUSES, RESETS, SILENT }
 
     /** One send; {@code outcome} stays null while it is out. */
     static final class Sent {
@@ -81,7 +81,7 @@
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private final Node[] nodes;
     private final double[] speed;
-    private final Kind[] trouble;
+    private final FaultKind[] trouble;
     private final double[] size;
     private final int[] held;
     private long order;
@@ -93,10 +93,10 @@
         servers = speeds.length;
         this.rareShare = rareShare;
         speed = speeds;
-        trouble = new Kind[servers];
+        trouble = new FaultKind[servers];
         size = new double[servers];
         held = new int[servers];
-        java.util.Arrays.fill(trouble, Kind.NONE);
+        java.util.Arrays.fill(trouble, FaultKind.NONE);
         this.nodes = new Node[nodes];
         for (int n = 0; n < nodes; n++) {
             restart(n);
@@ -135,10 +135,10 @@
             sent.add(out);
             held[s]++;
             double work = (asked.type == COMMON ? COMMON_WORK : RARE_WORK) * (0.7 + 0.6 * random.nextDouble());
-            double takes = work / speed[s] * Math.max(1, held[s] / CORES) * (trouble[s] == Kind.SLOW ? size[s] : 1);
-            takes += trouble[s] == Kind.PAUSES ? pause(takes, size[s]) : 0;
-            boolean resets = trouble[s] == Kind.RESETS && random.nextDouble() < size[s];
-            boolean silent = trouble[s] == Kind.SILENT && random.nextDouble() < size[s];
+            double takes = work / speed[s] * Math.max(1, held[s] / CORES) * (trouble[s] == FaultKind.SLOW ? size[s] : 1);
+            takes += trouble[s] == FaultKind.PAUSES ? pause(takes, size[s]) : 0;
+            boolean resets = trouble[s] == FaultKind.RESETS && random.nextDouble() < size[s];
+            boolean silent = trouble[s] == FaultKind.SILENT && random.nextDouble() < size[s];
             at(now + takes, () -> held[s]--);
             double answers = resets ? takes / 4 : silent ? Double.MAX_VALUE : takes;
             Outcome outcome = answers > timeoutMs ? Outcome.TIMEOUT : resets ? Outcome.RESET : Outcome.OK;
@@ -216,7 +216,7 @@
     }
 
     /** From now on, for these servers. */
-    void trouble(Kind kind, double howMuch, int... which) {
+    void injectFault(FaultKind kind, double howMuch, int... which) {
         for (int s : which) {
             trouble[s] = kind;
             size[s] = howMuch;
--- a/src/test/java/rowanplank/decision/DecisionsTest.java
+++ b/src/test/java/rowanplank/decision/DecisionDriverTest.java
@@ -40,7 +40,7 @@
 import rowanplank.net.SystemClock;
 
 @Timeout(60)
-class DecisionsTest implements AttemptSender {
+class DecisionDriverTest implements AttemptSender {
     private static final String SETTINGS = """
             {"classes": [{"name": "a", "aim_ms": 50, "deadline_ms": 200, "effect": "repeatable"}],
              "ceilings": {"most_tries": 6, "may_cancel": true, "retry_after": true, "max_retry_after_ms": 10}}""";
--- a/src/test/java/rowanplank/route/RouteTest.java
+++ b/src/test/java/rowanplank/route/ZoneRouterTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-class RouteTest {
+class ZoneRouterTest {
     private static ZoneRouter route(int own, double price, int zones) {
         ZoneRouter route = new ZoneRouter(3, own, price);
         route.updateZones(IntStream.range(0, zones).boxed().collect(Collectors.toSet()));
