--- a/src/main/java/rowanplank/balancer/Balancer.java
+++ b/src/main/java/rowanplank/balancer/Balancer.java
@@ -136,7 +136,7 @@
         OpenRequest r = new OpenRequest(request, type, now);
         openRequests.put(request.id(), r);
         retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_BUDGET_SHARE);
-        r.priority = (isOverQuota(request.tenant(), request.clientRetry()) ? settings.overShareWorth() : 1)
+        r.priority = (isOverQuota(request.tenant(), request.clientRetry()) ? settings.overQuotaWorth() : 1)
                 * (request.clientRetry() ? Math.max(MIN_CLIENT_RETRY_WORTH, type.lateWorth()) : 1);
         double mean = networks[request.classIndex()].meanLatency();
         r.worthDensity = r.priority * type.worth() / (settings.worthPerWork() || mean == 0 ? 1 : mean);
@@ -166,7 +166,7 @@
         if (--a.server.limit.inFlight == 0) removedServers.remove(a.server.server.id(), a.server);
         if (a.probe) a.server.probePending = false;
         // Withdrawn as stuck, and nothing heard from the server since: it is silent, not one connection.
-        boolean silent = outcome == Outcome.CANCELLED && a.cancelled && a.server.lastHeardAt < a.sentAt;
+        boolean silent = outcome == Outcome.CANCELLED && a.cancelled && a.server.lastResponseAt < a.sentAt;
         if (outcome != Outcome.OK && outcome != Outcome.MOOT) pauseColdServer(a, r);
         recordOutcome(a.server, r, silent ? Outcome.TIMEOUT : outcome, latencyMs);
         if (concluded && !r.ended) end(r);
@@ -406,7 +406,7 @@
         if (outcome == Outcome.CANCELLED && !late || outcome == Outcome.MOOT) return;
         boolean ok = outcome == Outcome.OK;
         int c = r.request.classIndex();
-        if (!late && outcome != Outcome.TIMEOUT && outcome != Outcome.CONNECT_FAILED) t.lastHeardAt = now;
+        if (!late && outcome != Outcome.TIMEOUT && outcome != Outcome.CONNECT_FAILED) t.lastResponseAt = now;
         if (t.neurons != null) {
             double counted = ok || late ? latency : Math.max(latency, r.type.deadlineMs());
             networks[c].learn(t.neurons[c], counted, ok);
@@ -515,7 +515,7 @@
         }
         for (Attempt a : r.attempts) {
             // Nothing heard from a server for twice as long as clients care to wait: it has gone silent.
-            boolean unheard = a.pending && !a.server.ejected && a.server.lastHeardAt < a.sentAt;
+            boolean unheard = a.pending && !a.server.ejected && a.server.lastResponseAt < a.sentAt;
             if (unheard && now - a.sentAt > 2 * r.type.targetMs()) eject(a.server, "silent");
         }
         Attempt last = r.attempts.get(r.attempts.size() - 1);
@@ -526,7 +526,7 @@
         }
         // Only where the server has said nothing since: a copy of what is merely slow adds load to load.
         if (settings.limits().hedging() && now - last.sentAt > r.type.targetMs() && retryBudget >= 1
-                && last.server.lastHeardAt < last.sentAt && r.type.effect() != Effect.ONCE && queue.isEmpty()
+                && last.server.lastResponseAt < last.sentAt && r.type.effect() != Effect.ONCE && queue.isEmpty()
                 && r.attempts.size() < settings.limits().maxAttempts() && actions.mayRetry()
                 && trySend(r)) {
             retryBudget--;
--- a/src/main/java/rowanplank/balancer/BalancerApi.java
+++ b/src/main/java/rowanplank/balancer/BalancerApi.java
@@ -123,7 +123,7 @@
      * @param requestList whether the server list comes only when asked for
      * @param crossZoneCost what is lost if every request crosses zones once, as a part of all worth; 0 for none
      */
-    record Settings(int nodes, int node, int zone, List<RequestClass> classes, List<Tenant> tenants, double overShareWorth,
+    record Settings(int nodes, int node, int zone, List<RequestClass> classes, List<Tenant> tenants, double overQuotaWorth,
             Limits limits, Rules rules, boolean requestList, boolean keyAffinity, boolean worthPerWork, double crossZoneCost) {
         public Settings {
             require(crossZoneCost >= 0, "deductions.cross_zone");
@@ -131,7 +131,7 @@
             require(node >= 0 && node < nodes, "position");
             require(zone >= 0, "zone");
             require(!classes.isEmpty(), "classes");
-            require(overShareWorth >= 0, "over_share_worth");
+            require(overQuotaWorth >= 0, "over_share_worth");
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
         }
--- a/src/main/java/rowanplank/balancer/BalancerState.java
+++ b/src/main/java/rowanplank/balancer/BalancerState.java
@@ -24,7 +24,7 @@
         boolean probePending;
         double nextProbeAt;
         double ejectionMs;
-        double lastHeardAt;
+        double lastResponseAt;
         /** When something was last sent to it, or when it came. */
         double lastSentAt;
 
--- a/src/main/java/rowanplank/decision/ServerSlots.java
+++ b/src/main/java/rowanplank/decision/ServerSlots.java
@@ -22,7 +22,7 @@
         }
 
         @Override
-        public void release(long server, boolean heard) { }
+        public void release(long server, boolean serverKnows) { }
 
         @Override
         public void updateServers(List<Server> changed, boolean complete, Settings site) { }
@@ -38,7 +38,7 @@
     boolean tryAcquire(long server, double worth);
 
     /** A try is over. @param heard whether the peer knows: it answered, or never had it */
-    void release(long server, boolean heard);
+    void release(long server, boolean serverKnows);
 
     /** Peers as discovery tells of them. @param complete whether they are all */
     void updateServers(List<Server> changed, boolean complete, Settings site);
--- a/src/test/java/rowanplank/balancer/BalancerTest.java
+++ b/src/test/java/rowanplank/balancer/BalancerTest.java
@@ -31,7 +31,7 @@
 
     private static Settings settings(List<Tenant> tenants, boolean askForList, boolean warmKeys) {
         Settings s = Harness.settings(Harness.SAFE);
-        return new Settings(s.nodes(), s.node(), s.zone(), s.classes(), tenants, s.overShareWorth(), s.limits(), s.rules(),
+        return new Settings(s.nodes(), s.node(), s.zone(), s.classes(), tenants, s.overQuotaWorth(), s.limits(), s.rules(),
                 askForList, warmKeys, false, 0);
     }
 
@@ -39,7 +39,7 @@
     void aRequestThatComesWithItsTimeUpIsAnsweredAtOnce() {
         Harness h = with(Harness.SAFE, 4);
         h.request(1, CLASS, h.now);
-        assertEquals(List.of(1L), h.refused);
+        assertEquals(List.of(1L), h.rejected);
         assertTrue(h.lastRetryAfter > 0, "a client that heeds it must be told when to come back");
         assertTrue(h.lastRetryAfter <= Harness.SAFE.targetMs() / 4, "a repeat must be able to come in time");
         assertTrue(h.sent.isEmpty());
@@ -50,9 +50,9 @@
         Harness h = with(Harness.UNSAFE, 4);
         h.request(1, CLASS);
         h.outcome(h.last(), Outcome.CONNECT_FAILED);
-        assertEquals(2, h.serversTried(1).size());
+        assertEquals(2, h.attemptedServers(1).size());
         h.outcome(h.last(), Outcome.OK);
-        assertTrue(h.failed.isEmpty() && h.refused.isEmpty());
+        assertTrue(h.failed.isEmpty() && h.rejected.isEmpty());
     }
 
     @Test
@@ -69,7 +69,7 @@
         Harness h = with(Harness.SAFE, 4);
         h.request(1, CLASS);
         h.outcome(h.last(), Outcome.ERROR);
-        assertEquals(2, h.serversTried(1).size());
+        assertEquals(2, h.attemptedServers(1).size());
     }
 
     @Test
@@ -96,7 +96,7 @@
             h.pending().forEach(s -> h.outcome(s, Outcome.OK));
             h.advance(5);
         }
-        assertEquals(List.of(), h.refused);
+        assertEquals(List.of(), h.rejected);
     }
 
     @Test
@@ -104,7 +104,7 @@
         Harness h = with(Harness.SAFE, 4);
         h.request(1, CLASS);
         h.advance(450);
-        assertEquals(2, h.serversTried(1).size());
+        assertEquals(2, h.attemptedServers(1).size());
         h.outcome(h.last(), Outcome.OK);
         assertEquals(List.of("1/0"), h.cancelled);
     }
@@ -115,7 +115,7 @@
         h.request(1, CLASS);
         assertFalse(h.ended(1));
         h.advance(1200);
-        assertEquals(List.of(1L), h.refused);
+        assertEquals(List.of(1L), h.rejected);
     }
 
     /** Guards clients with little time: one that was never tried must hear so while it can still ask elsewhere. */
@@ -126,7 +126,7 @@
         h.advance(200);
         assertFalse(h.ended(1));
         h.advance(50);
-        assertEquals(List.of(1L), h.refused);
+        assertEquals(List.of(1L), h.rejected);
     }
 
     @Test
@@ -418,10 +418,10 @@
         Harness h = with(Harness.SAFE, 1);
         requests(h, 1, 20);
         h.advance(420);
-        assertFalse(h.refused.isEmpty());
+        assertFalse(h.rejected.isEmpty());
         h.outcome(h.pending().get(0), Outcome.OK);
-        h.repeat(100, CLASS);
-        assertTrue(h.refused.contains(100L));
+        h.clientRetry(100, CLASS);
+        assertTrue(h.rejected.contains(100L));
     }
 
     @Test
@@ -443,7 +443,7 @@
     void repeatsTakeNoPartOfTheirTenantsShare() {
         Harness h = new Harness(settings(List.of(new Tenant(6)), false, false));
         for (long id = 1; id <= 6; id++) {
-            h.repeat(id, CLASS);
+            h.clientRetry(id, CLASS);
         }
         requests(h, 7, 10);
         h.servers(2);
@@ -496,7 +496,7 @@
         answerAfter(h, 201, 220, 150);
         requests(h, 1, 40);
         h.advance(120);
-        assertFalse(h.refused.isEmpty());
+        assertFalse(h.rejected.isEmpty());
         h.pending().forEach(s -> h.outcome(s, Outcome.OK));
         requests(h, 101, 140);
         assertEquals(9, h.pending().size(), "a third of three at every server");
@@ -536,7 +536,7 @@
     }
 
     private static long servedBy(Harness h, long key) {
-        h.keyed(key, key);
+        h.keyedRequest(key, key);
         h.outcome(h.last(), Outcome.OK);
         return h.last().server();
     }
@@ -563,7 +563,7 @@
         h.outcome(h.last(), Outcome.RESET);
         h.advance(5500);
         assertEquals(1, h.attempts(1));
-        assertEquals(List.of(1L), h.refused);
+        assertEquals(List.of(1L), h.rejected);
     }
 
     @Test
@@ -580,7 +580,7 @@
     @Test
     void anAnswerIsGivenInTimeEvenIfNoTimeOutComes() {
         Harness h = with(Harness.UNSAFE, 2);
-        h.timeOuts = false;
+        h.timeoutsEnabled = false;
         h.request(1, CLASS);
         h.advance(1215);
         assertEquals(List.of(1L), h.failed);
@@ -600,7 +600,7 @@
     @Test
     void lateCancelsTeachThatAServerIsSlow() {
         Harness h = new Harness(Harness.settings(1, Harness.LIMITS, Harness.UNSAFE)).servers(1);
-        h.timeOuts = false;
+        h.timeoutsEnabled = false;
         for (long id = 1; id <= 10; id++) {
             h.request(id, CLASS);
             h.advance(Harness.UNSAFE.deadlineMs());
@@ -664,7 +664,7 @@
         h.balancer.onStreamStarted(h.now, 1, 0);
         h.outcome(h.last(), Outcome.CONNECT_FAILED);
         h.advance(2000);
-        assertEquals(List.of(1L), h.refused);
+        assertEquals(List.of(1L), h.rejected);
     }
 
     @Test
@@ -674,7 +674,7 @@
         requests(h, 1, 20);
         assertEquals(4, h.pending().size());
         h.advance(120);
-        assertEquals(16, h.refused.size());
+        assertEquals(16, h.rejected.size());
         h.pending().forEach(s -> h.outcome(s, Outcome.OK));
         requests(h, 101, 120);
         assertEquals(3, h.pending().size());
@@ -707,16 +707,16 @@
         h.balancer.onStreamStarted(h.now, 99, 0);
         h.balancer.onTimer(h.now, 77);
         assertEquals(1, h.sent.size());
-        assertTrue(h.refused.isEmpty() && h.failed.isEmpty());
+        assertTrue(h.rejected.isEmpty() && h.failed.isEmpty());
     }
 
     @Test
     void whereTheListMustBeAskedForItIsAskedForAgainAfterAFailure() {
         Harness h = new Harness(settings(List.of(), true, false));
-        assertEquals(1, h.watches);
+        assertEquals(1, h.watchCalls);
         h.list(ListKind.FAILED, List.of());
         h.advance(2600);
-        assertEquals(2, h.watches);
+        assertEquals(2, h.watchCalls);
     }
 
     @Test
--- a/src/test/java/rowanplank/balancer/ColdServerRacesTest.java
+++ b/src/test/java/rowanplank/balancer/ColdServerRacesTest.java
@@ -85,7 +85,7 @@
         ask(h, 10, 3);
         Sent left = h.last();
         int before = h.sent.size();
-        h.departure(left.request());
+        h.clientLeft(left.request());
         h.outcome(left, Outcome.CANCELLED);
         h.advance(50);
         assertEquals(before, h.sent.size());
--- a/src/test/java/rowanplank/balancer/Harness.java
+++ b/src/test/java/rowanplank/balancer/Harness.java
@@ -53,14 +53,14 @@
     final Settings settings;
     final Balancer balancer;
     final List<Sent> sent = new ArrayList<>();
-    final List<Long> refused = new ArrayList<>();
+    final List<Long> rejected = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    int watches;
+    int watchCalls;
     double lastRetryAfter;
     /** Whether attempts end by themselves at the deadline. */
-    boolean timeOuts = true;
+    boolean timeoutsEnabled = true;
     double now = 1000;
     private final Map<Long, Tracked> requests = new LinkedHashMap<>();
     private final Map<Long, Server> known = new LinkedHashMap<>();
@@ -126,12 +126,12 @@
         request(id, classIndex, deadline, 0, false);
     }
 
-    void keyed(long id, long key) {
+    void keyedRequest(long id, long key) {
         request(id, 0, now + settings.classes().get(0).deadlineMs(), key, false);
     }
 
     /** A try of a client that has tried before. */
-    void repeat(long id, int classIndex) {
+    void clientRetry(long id, int classIndex) {
         request(id, classIndex, now + settings.classes().get(classIndex).deadlineMs(), 0, true);
     }
 
@@ -150,7 +150,7 @@
         balancer.onOutcome(now, s.request(), s.attempt(), outcome, now - s.at(), r.ended);
     }
 
-    void departure(long id) {
+    void clientLeft(long id) {
         requests.get(id).ended = true;
         balancer.onClientLeft(now, id);
     }
@@ -164,7 +164,7 @@
                 balancer.onTimer(now, timers.poll().token());
             }
             for (Sent s : pending()) {
-                if (timeOuts && now >= requests.get(s.request()).deadline) {
+                if (timeoutsEnabled && now >= requests.get(s.request()).deadline) {
                     outcome(s, Outcome.TIMEOUT);
                 }
             }
@@ -189,7 +189,7 @@
         return requests.get(id).attempts.size();
     }
 
-    Set<Long> serversTried(long id) {
+    Set<Long> attemptedServers(long id) {
         Set<Long> tried = new HashSet<>();
         requests.get(id).attempts.forEach(s -> tried.add(s.server()));
         return tried;
@@ -241,7 +241,7 @@
         assertTrue(!mayHaveRun || r.type.effect() == Effect.REPEATABLE
                 || r.type.effect() == Effect.BY_KEY && r.type.dedupGroup() == DedupGroup.ALL, "an unsafe refusal");
         r.ended = true;
-        refused.add(request);
+        rejected.add(request);
     }
 
     @Override
@@ -266,7 +266,7 @@
 
     @Override
     public void watchServers() {
-        watches++;
+        watchCalls++;
     }
 
     @Override
--- a/src/test/java/rowanplank/balancer/RandomRunTest.java
+++ b/src/test/java/rowanplank/balancer/RandomRunTest.java
@@ -53,7 +53,7 @@
             h.list(random.nextBoolean() ? ListKind.FULL : ListKind.DELTA, someServers(h, random));
         }
         if (random.nextInt(30) == 0 && !h.ended(id)) {
-            h.departure(id);
+            h.clientLeft(id);
         }
         for (Harness.Sent s : h.pending()) {
             if (random.nextInt(3) == 0) {
--- a/src/test/java/rowanplank/balancer/SimulatedSite.java
+++ b/src/test/java/rowanplank/balancer/SimulatedSite.java
@@ -72,7 +72,7 @@
 
     final List<Sent> sent = new ArrayList<>();
     int served;
-    int refused;
+    int rejected;
     double now = 1000;
     private final int servers;
     private final double rareShare;
@@ -162,7 +162,7 @@
 
         @Override
         public void reject(long request, double retryAfterMs) {
-            refused += open.get(request).ended ? 0 : 1;
+            rejected += open.get(request).ended ? 0 : 1;
             open.get(request).ended = true;
         }
 
