--- a/src/main/java/rowanplank/agreement/DurabilityBarrier.java
+++ b/src/main/java/rowanplank/agreement/DurabilityBarrier.java
@@ -17,26 +17,26 @@
 
     private final int maxHeld;
     private final Deque<Held<T>> held = new ArrayDeque<>();
-    private long begun;
-    private long done;
+    private long lastBegun;
+    private long lastDone;
 
     DurabilityBarrier(int mostHeld) {
         this.maxHeld = mostHeld;
     }
 
     /** A write begins. @return its number; numbers rise by one */
-    long begin() {
-        return ++begun;
+    long beginWrite() {
+        return ++lastBegun;
     }
 
     /** Up to which number all writes are done. */
     long done() {
-        return done;
+        return lastDone;
     }
 
     /** Whether a write is under way. */
     boolean isBusy() {
-        return done != begun;
+        return lastDone != lastBegun;
     }
 
     /** Holds a message until all writes begun so far are done. */
@@ -44,14 +44,14 @@
         if (held.size() == maxHeld) {
             held.poll();
         }
-        held.add(new Held<>(begun, message));
+        held.add(new Held<>(lastBegun, message));
     }
 
     /** All writes up to that number are done. @return the messages that waited for no later one, in their order */
     List<T> done(long number) {
-        done = Math.max(done, number);
+        lastDone = Math.max(lastDone, number);
         List<T> free = new ArrayList<>();
-        while (!held.isEmpty() && held.peek().number() <= done) {
+        while (!held.isEmpty() && held.peek().number() <= lastDone) {
             free.add(held.poll().message());
         }
         return free;
--- a/src/main/java/rowanplank/agreement/EntryLog.java
+++ b/src/main/java/rowanplank/agreement/EntryLog.java
@@ -97,7 +97,7 @@
     }
 
     /** From this entry on, so many as fit, at least one if there is one. */
-    List<Entry> from(long index, int mostBytes) {
+    List<Entry> entriesFrom(long index, int mostBytes) {
         List<Entry> found = new ArrayList<>();
         int bytes = 0;
         Iterator<Entry> old = trailing.iterator();
--- a/src/main/java/rowanplank/agreement/RaftNode.java
+++ b/src/main/java/rowanplank/agreement/RaftNode.java
@@ -712,7 +712,7 @@
             return;
         }
         p.snapshotInTransfer = null;
-        List<Entry> entries = p.maySendEntries(MAX_APPENDS_IN_FLIGHT, settings.transport().probesFirst) ? log.from(p.nextIndex, settings.maxMessageBytes()) : List.of();
+        List<Entry> entries = p.maySendEntries(MAX_APPENDS_IN_FLIGHT, settings.transport().probesFirst) ? log.entriesFrom(p.nextIndex, settings.maxMessageBytes()) : List.of();
         send(p.name, new Message.AppendRequest(term, p.nextIndex - 1, log.term(p.nextIndex - 1), lastCommitted, round, entries));
         p.onAppendSent(entries.size());
     }
@@ -949,7 +949,7 @@
     // ---- disk
 
     private long store(Write write) {
-        long number = diskBarrier.begin();
+        long number = diskBarrier.beginWrite();
         actions.store(number, write);
         return number;
     }
--- a/src/main/java/rowanplank/fleet/FleetNode.java
+++ b/src/main/java/rowanplank/fleet/FleetNode.java
@@ -249,10 +249,10 @@
         Map<String, Command.Define> used = BudgetMapping.definitionsByName(sharing);
         used.putAll(slots == null ? new TreeMap<>() : slots.budgets(sharing));
         budgets.budgets(now, used, sharing.longestUse());
-        WorkerRunner.wishes(sharing.budgets(), sharing.workers()).forEach(budgets::wish);
-        rateLimiter.wish();
+        WorkerRunner.requestedShares(sharing.budgets(), sharing.workers()).forEach(budgets::wish);
+        rateLimiter.requestShares();
         if (slots != null) {
-            slots.wish();
+            slots.requestShares();
         }
         budgets.onTime(now);
         workers.replace(now, sharing.workers());
@@ -535,7 +535,7 @@
         }
 
         @Override
-        public Instant wall() {
+        public Instant wallClockNow() {
             return loop.wall().now();
         }
 
--- a/src/main/java/rowanplank/fleet/RateLimiter.java
+++ b/src/main/java/rowanplank/fleet/RateLimiter.java
@@ -41,7 +41,7 @@
             total = b.whole();
         }
 
-        long wish() {
+        long requestedShare() {
             return refused ? total * Share.USE : Math.min(total * Share.USE, (long) (Share.USE * Math.max(1, 2 * recentRate)));
         }
     }
@@ -111,8 +111,8 @@
     }
 
     /** Says what it would use of each. */
-    void wish() {
-        uses().forEach(u -> holder.wish(u.name, u.wish()));
+    void requestShares() {
+        uses().forEach(u -> holder.wish(u.name, u.requestedShare()));
     }
 
     Instant due() {
@@ -124,7 +124,7 @@
             nextReview = now.plus(REVIEW_INTERVAL);
             for (Use u : uses()) {
                 u.recentRate = Math.max(u.requested * REVIEWS_PER_SECOND, u.recentRate * DECAY);
-                holder.wish(u.name, u.wish());
+                holder.wish(u.name, u.requestedShare());
                 u.requested = 0;
                 u.refused = false;
             }
--- a/src/main/java/rowanplank/fleet/SlotLimiter.java
+++ b/src/main/java/rowanplank/fleet/SlotLimiter.java
@@ -240,8 +240,8 @@
     }
 
     /** Says what it would use of each. */
-    void wish() {
-        slotsById.values().forEach(this::wish);
+    void requestShares() {
+        slotsById.values().forEach(this::requestShares);
     }
 
     Instant due() {
@@ -263,7 +263,7 @@
                     warm = true;
                 }
                 p.recentPeak = Math.max(p.peakOpen, p.recentPeak * DECAY);
-                wish(p);
+                requestShares(p);
                 p.peakOpen = p.open;
                 p.full = false;
             }
@@ -276,7 +276,7 @@
         }
     }
 
-    private void wish(Slots p) {
+    private void requestShares(Slots p) {
         boolean unused = p.removed || !p.wanted;
         long more = Math.min(config.whole(), 1 + (long) Math.ceil(p.recentPeak));
         holder.wish(p.budget, unused ? 0 : p.full ? config.whole() : more,
--- a/src/main/java/rowanplank/fleet/Voter.java
+++ b/src/main/java/rowanplank/fleet/Voter.java
@@ -59,7 +59,7 @@
 
         boolean isAlive(String node);
 
-        Instant wall();
+        Instant wallClockNow();
 
         /** The order of work as staff read it. */
         String workStatusText();
@@ -93,7 +93,7 @@
         this.environment = outside;
         this.file = file;
         try {
-            VoterFileCodec.ReadFile read = VoterFileCodec.read(file.content(), config.name(), config.node());
+            VoterFileCodec.FileContent read = VoterFileCodec.read(file.content(), config.name(), config.node());
             file.cut(read.length());
             chain = read.chain();
             ledger = parts.ledger(LedgerCodec.snapshot(read.saved().snapshot().data()));
@@ -391,7 +391,7 @@
 
         @Override
         public Instant wall() {
-            return environment.wall();
+            return environment.wallClockNow();
         }
 
         @Override
--- a/src/main/java/rowanplank/fleet/WorkerRunner.java
+++ b/src/main/java/rowanplank/fleet/WorkerRunner.java
@@ -66,7 +66,7 @@
     }
 
     /** What of each budget these workers would use at the most. */
-    static Map<String, Long> wishes(List<FleetConfig.Budget> budgets, List<FleetConfig.Worker> workers) {
+    static Map<String, Long> requestedShares(List<FleetConfig.Budget> budgets, List<FleetConfig.Worker> workers) {
         Map<String, Long> wishes = new TreeMap<>();
         budgets.forEach(b -> wishes.put(b.name(), 0L));
         for (FleetConfig.Worker w : workers) {
--- a/src/main/java/rowanplank/fleet/wire/BudgetCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/BudgetCodec.java
@@ -121,10 +121,10 @@
 
     static void ask(BinaryWriter out, Ask a) {
         if (a.what() instanceof Ask.Join w) {
-            EnvelopeCodec.head(out, 22, a).varint(w.length().toNanos()).varint(w.lasting().toNanos());
+            EnvelopeCodec.writeRequestHeader(out, 22, a).varint(w.length().toNanos()).varint(w.lasting().toNanos());
         } else if (a.what() instanceof Ask.Parts w) {
             boolean weighted = w.wishes().stream().anyMatch(x -> x.weight() != Division.NORMAL);
-            EnvelopeCodec.head(out, weighted ? WEIGHTED : 23, a).varint(w.epoch()).varint(w.known()).varint(w.wishes().size());
+            EnvelopeCodec.writeRequestHeader(out, weighted ? WEIGHTED : 23, a).varint(w.epoch()).varint(w.known()).varint(w.wishes().size());
             w.wishes().forEach(x -> {
                 out.text(x.budget()).varint(x.amount());
                 if (weighted) {
@@ -132,9 +132,9 @@
                 }
             });
         } else if (a.what() instanceof Ask.Give w) {
-            share(EnvelopeCodec.head(out, 24, a).varint(w.epoch()).text(w.budget()), w.most());
+            share(EnvelopeCodec.writeRequestHeader(out, 24, a).varint(w.epoch()).text(w.budget()), w.most());
         } else if (a.what() instanceof Ask.Leave) {
-            EnvelopeCodec.head(out, 25, a);
+            EnvelopeCodec.writeRequestHeader(out, 25, a);
         }
     }
 
--- a/src/main/java/rowanplank/fleet/wire/EnvelopeCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/EnvelopeCodec.java
@@ -21,7 +21,7 @@
     /** The longest name of a node, a fleet or a lease, in bytes. */
     public static final int MAX_NAME_BYTES = 64;
     private static final int VERSION = 1;
-    private static final int CHECKSUM = Integer.BYTES;
+    private static final int CHECKSUM_BYTES = Integer.BYTES;
     private static final int ANSWER = 32;
     private static final int ANSWER_WITH_PARTS = 63;
     private static final int ANSWER_WITH_LINE = 62;
@@ -57,7 +57,7 @@
             }
         }
         byte[] bytes = out.toByteArray();
-        return ByteBuffer.allocate(bytes.length + CHECKSUM).put(bytes).putInt(checksum(ByteBuffer.wrap(bytes))).flip();
+        return ByteBuffer.allocate(bytes.length + CHECKSUM_BYTES).put(bytes).putInt(checksum(ByteBuffer.wrap(bytes))).flip();
     }
 
     private static int checksum(ByteBuffer bytes) {
@@ -90,42 +90,42 @@
 
     private static void ask(BinaryWriter out, Ask a) {
         if (a.what() instanceof Ask.Open) {
-            head(out, 16, a);
+            writeRequestHeader(out, 16, a);
         } else if (a.what() instanceof Ask.Renew) {
-            head(out, 17, a);
+            writeRequestHeader(out, 17, a);
         } else if (a.what() instanceof Ask.Acquire w) {
-            head(out, 18, a).text(w.lease()).varint(w.length().toNanos());
+            writeRequestHeader(out, 18, a).text(w.lease()).varint(w.length().toNanos());
         } else if (a.what() instanceof Ask.Release w) {
-            head(out, 19, a).text(w.lease()).varint(w.fence());
+            writeRequestHeader(out, 19, a).text(w.lease()).varint(w.fence());
         } else if (a.what() instanceof Ask.Claim w) {
-            head(out, 21, a).text(w.lease()).varint(w.fence()).text(w.task()).varint(w.every().toNanos())
+            writeRequestHeader(out, 21, a).text(w.lease()).varint(w.fence()).text(w.task()).varint(w.every().toNanos())
                     .varint(w.period());
         } else if (a.what() instanceof Ask.Read w) {
-            head(out, 20, a).text(w.lease());
+            writeRequestHeader(out, 20, a).text(w.lease());
         } else if (a.what() instanceof Ask.Poll w && w.service() != null) {
-            WorkCodec.service(head(out, POLL_WITH_SERVICE, a).text(w.machine()).text(w.hall()), w.service());
+            WorkCodec.service(writeRequestHeader(out, POLL_WITH_SERVICE, a).text(w.machine()).text(w.hall()), w.service());
         } else if (a.what() instanceof Ask.Poll w) {
-            head(out, 26, a).text(w.machine()).text(w.hall());
+            writeRequestHeader(out, 26, a).text(w.machine()).text(w.hall());
         } else if (a.what() instanceof Ask.Step w) {
-            head(out, 27, a).varint(w.fence()).octet(w.from().ordinal());
+            writeRequestHeader(out, 27, a).varint(w.fence()).octet(w.from().ordinal());
         } else if (a.what() instanceof Ask.Look w) {
-            head(out, LOOK, a).varint(w.from());
+            writeRequestHeader(out, LOOK, a).varint(w.from());
         } else if (a.what() instanceof Ask.Staff w && WorkCodec.needsLatestVersion(w.words())) {
-            WorkCodec.window(WorkCodec.staff(head(out, LATER_STAFF, a), w.words()), w.words().window());
+            WorkCodec.window(WorkCodec.staff(writeRequestHeader(out, LATER_STAFF, a), w.words()), w.words().window());
         } else if (a.what() instanceof Ask.Staff w) {
-            WorkCodec.staff(head(out, 28, a), w.words());
+            WorkCodec.staff(writeRequestHeader(out, 28, a), w.words());
         } else {
             BudgetCodec.ask(out, a);
         }
     }
 
-    static BinaryWriter head(BinaryWriter out, int kind, Ask a) {
+    static BinaryWriter writeRequestHeader(BinaryWriter out, int kind, Ask a) {
         return out.octet(kind).varint(a.session()).varint(a.floor()).varint(a.number());
     }
 
     /** @throws MalformedException if it is not whole, not of this fleet, or not of this version */
     public Envelope read(ByteBuffer datagram) throws MalformedException {
-        int length = datagram.remaining() - CHECKSUM;
+        int length = datagram.remaining() - CHECKSUM_BYTES;
         if (length < 0) {
             throw new MalformedException("ends too early");
         }
--- a/src/main/java/rowanplank/fleet/wire/GossipCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/GossipCodec.java
@@ -9,23 +9,23 @@
 /** What nodes say of who lives, as bytes. */
 final class GossipCodec {
     /** The first of its kinds; six of them are known. */
-    static final int FIRST = 40;
+    static final int FIRST_KIND = 40;
 
     private GossipCodec() { }
 
     static void write(BinaryWriter out, GossipMessage note) {
         if (note instanceof GossipMessage.Ping n) {
-            out.octet(FIRST).varint(n.number());
+            out.octet(FIRST_KIND).varint(n.number());
         } else if (note instanceof GossipMessage.Ack n) {
-            out.octet(FIRST + 1).varint(n.number());
+            out.octet(FIRST_KIND + 1).varint(n.number());
         } else if (note instanceof GossipMessage.PingRequest n) {
-            out.octet(FIRST + 2).varint(n.number()).text(n.target()).text(n.address());
+            out.octet(FIRST_KIND + 2).varint(n.number()).text(n.target()).text(n.address());
         } else if (note instanceof GossipMessage.Nack n) {
-            out.octet(FIRST + 3).varint(n.number());
+            out.octet(FIRST_KIND + 3).varint(n.number());
         } else if (note instanceof GossipMessage.MemberListRequest n) {
-            out.octet(FIRST + 4).text(n.after());
+            out.octet(FIRST_KIND + 4).text(n.after());
         } else if (note instanceof GossipMessage.MemberListResponse n) {
-            out.octet(FIRST + 5).text(n.last());
+            out.octet(FIRST_KIND + 5).text(n.last());
         }
         out.varint(note.updates().size());
         note.updates().forEach(n -> out.text(n.name()).text(n.address()).varint(n.incarnation()).octet(n.state().ordinal())
@@ -33,7 +33,7 @@
     }
 
     static GossipMessage read(int kind, BinaryReader in) throws MalformedException {
-        return switch (kind - FIRST) {
+        return switch (kind - FIRST_KIND) {
             case 0 -> new GossipMessage.Ping(in.varint(), news(in));
             case 1 -> new GossipMessage.Ack(in.varint(), news(in));
             case 2 -> new GossipMessage.PingRequest(in.varint(), in.text(), in.text(), news(in));
--- a/src/main/java/rowanplank/fleet/wire/VoterFileCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/VoterFileCodec.java
@@ -29,7 +29,7 @@
      * @param length how much of the file is whole records; the rest is to be cut off
      * @param chain the last record's checksum
      */
-    public record ReadFile(PersistentState saved, int length, int chain) { }
+    public record FileContent(PersistentState saved, int length, int chain) { }
 
     /** Written records, and the last one's checksum. */
     public record Encoded(byte[] bytes, int chain) { }
@@ -94,7 +94,7 @@
     }
 
     /** @throws MalformedException if it is not this node's file, or damaged: one line says where */
-    public static ReadFile read(byte[] file, String fleet, String node) throws MalformedException {
+    public static FileContent read(byte[] file, String fleet, String node) throws MalformedException {
         ByteBuffer in = ByteBuffer.wrap(file);
         PersistentState saved = null;
         int chain = 0;
@@ -124,7 +124,7 @@
         if (saved == null) {
             throw new MalformedException("ends before its first record");
         }
-        return new ReadFile(saved, in.position(), chain);
+        return new FileContent(saved, in.position(), chain);
     }
 
     /**
--- a/src/test/java/rowanplank/agreement/DurabilityBarrierTest.java
+++ b/src/test/java/rowanplank/agreement/DurabilityBarrierTest.java
@@ -14,9 +14,9 @@
     /** Guards what a message rests on: it goes once all writes before it are done, and in its order. */
     @Test
     void aMessageWaitsForAllWritesBeforeIt() {
-        long first = barrier.begin();
+        long first = barrier.beginWrite();
         barrier.hold("a");
-        long second = barrier.begin();
+        long second = barrier.beginWrite();
         barrier.hold("b");
         barrier.hold("c");
         assertEquals(List.of("a"), barrier.done(first));
@@ -28,8 +28,8 @@
     /** Guards against a disk that tells of its writes in another order: an older number says nothing new. */
     @Test
     void anOlderNumberTakesNothingBack() {
-        long first = barrier.begin();
-        long second = barrier.begin();
+        long first = barrier.beginWrite();
+        long second = barrier.beginWrite();
         barrier.done(second);
         assertEquals(List.of(), barrier.done(first));
         assertEquals(second, barrier.done());
@@ -38,7 +38,7 @@
     /** Guards memory while a disk hangs. */
     @Test
     void ofTooManyMessagesTheOldestAreDropped() {
-        long number = barrier.begin();
+        long number = barrier.beginWrite();
         List.of("a", "b", "c", "d").forEach(barrier::hold);
         assertEquals(List.of("b", "c", "d"), barrier.done(number));
     }
--- a/src/test/java/rowanplank/fleet/wire/VoterFileCodecTest.java
+++ b/src/test/java/rowanplank/fleet/wire/VoterFileCodecTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void whatWasWrittenIsRead() throws Exception {
-        VoterFileCodec.ReadFile read = VoterFileCodec.read(file(), "press", "n1");
+        VoterFileCodec.FileContent read = VoterFileCodec.read(file(), "press", "n1");
         assertEquals(3, read.saved().term());
         assertEquals("n2", read.saved().vote());
         assertEquals(List.of(3L, 4L), read.saved().entries().stream().map(Entry::term).toList());
@@ -57,7 +57,7 @@
     void aRecordThatWasBrokenOffIsCut() throws Exception {
         byte[] file = file();
         for (int length = lastRecord; length < file.length; length++) {
-            VoterFileCodec.ReadFile read = VoterFileCodec.read(Arrays.copyOf(file, length), "press", "n1");
+            VoterFileCodec.FileContent read = VoterFileCodec.read(Arrays.copyOf(file, length), "press", "n1");
             assertEquals(lastRecord, read.length());
             assertEquals(List.of(3L, 3L), read.saved().entries().stream().map(Entry::term).toList());
         }
