--- a/src/main/java/routerfleet/control/ControlPeers.java
+++ b/src/main/java/routerfleet/control/ControlPeers.java
@@ -74,7 +74,7 @@
         return selfIp;
     }
 
-    List<String> known() {
+    List<String> knownAddresses() {
         List<String> all = new ArrayList<>(known);
         all.add(selfIp);
         return all;
@@ -102,7 +102,7 @@
     }
 
     /** Addresses of the control nodes that are connected, this one included. */
-    List<String> connected() {
+    List<String> connectedAddresses() {
         List<String> all = new ArrayList<>(outgoing.keySet());
         all.add(selfIp);
         return all;
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -91,7 +91,7 @@
         peers = new ControlPeers(settings.ip(), settings.peerPort());
         quotas = new QuotaGrantor(settings.ip(), settings.bounds());
         table = new SessionTable(settings.heartbeatMs());
-        tallies = new TallyService(settings, scheduler, peers, storage.tallies(), parts.tallyBounds(),
+        tallies = new TallyService(settings, scheduler, peers, storage.tallyStorage(), parts.tallyBounds(),
                 parts.tallyReach(settings, peers));
     }
 
@@ -452,7 +452,7 @@
         @Override
         public void opened(PeerLink link) {
             link.send(new PeerMessage.ControlHello(settings.nodeName(), settings.ip(), settings.zone(), replica,
-                    peers.known()));
+                    peers.knownAddresses()));
             peers.outgoingOpened(ip, link);
             link.send(new PeerMessage.Sessions(0, table.records()));
             replicas.onReconnected(ip);
--- a/src/main/java/routerfleet/control/DataNodeService.java
+++ b/src/main/java/routerfleet/control/DataNodeService.java
@@ -82,7 +82,7 @@
     private void answer(DataNodeConnections.Connection session, PeerMessage.Poll poll, long arrivedNanos) {
         long now = scheduler.nanoTime();
         session.link.send(new PeerMessage.PollReply(poll.id(), group.generation(), freshness.ageMicros(arrivedNanos),
-                isWarming(), nodes.countActive(now), peers.connected(), group.replicaAddresses(), group.evacuations()));
+                isWarming(), nodes.countActive(now), peers.connectedAddresses(), group.replicaAddresses(), group.evacuations()));
         session.sentEvacuations = group.evacuations().revision();
         flush(session);
     }
--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -102,7 +102,7 @@
     }
 
     /** The journal of tallies, on the same disk and written by the same thread. */
-    TallyStorage tallies() {
+    TallyStorage tallyStorage() {
         return new TallyStorage(disk, writer, loop);
     }
 
--- a/src/main/java/routerfleet/control/SessionService.java
+++ b/src/main/java/routerfleet/control/SessionService.java
@@ -91,7 +91,7 @@
     private void take(SessionRecord session, Consumer<ControlHttp.Response> answer) {
         merge(session);
         SessionRecord merged = table.find(session.uid());
-        boolean connected = copies.isSufficient(Set.copyOf(peers.connected()));
+        boolean connected = copies.isSufficient(Set.copyOf(peers.connectedAddresses()));
         if (merged == null) {
             answer.accept(ControlHttp.Response.error(UNAVAILABLE, "too many sessions"));
         } else if (merged.phase() == SessionRecord.Phase.READY) {
--- a/src/main/java/routerfleet/control/TallyAckPolicy.java
+++ b/src/main/java/routerfleet/control/TallyAckPolicy.java
@@ -107,6 +107,6 @@
     private boolean isFull(Set<String> others) {
         Set<String> holders = new TreeSet<>(others);
         holders.add(selfIp);
-        return holders.size() >= Math.min(copies, peers.known().size()) && peers.spanZones(holders, selfZone, zones);
+        return holders.size() >= Math.min(copies, peers.knownAddresses().size()) && peers.spanZones(holders, selfZone, zones);
     }
 }
--- a/src/main/java/routerfleet/control/TallyService.java
+++ b/src/main/java/routerfleet/control/TallyService.java
@@ -253,7 +253,7 @@
             return;
         }
         JournalVector now = journal.vector();
-        Set<String> known = new TreeSet<>(peers.known());
+        Set<String> known = new TreeSet<>(peers.knownAddresses());
         copies.retainNodes(known);
         told.keySet().retainAll(known);
         for (String peer : known) {
--- a/src/test/java/routerfleet/control/ControlPlaneSimulation.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulation.java
@@ -143,7 +143,7 @@
         for (Observations.Read read : seen.reads.subList(readsBefore, seen.reads.size())) {
             readers.add(read.node());
         }
-        boolean ordered = seen.orders.values().stream().anyMatch(o -> o.acknowledgedNanos() > before - 4_000_000_000L);
+        boolean ordered = seen.updates.values().stream().anyMatch(o -> o.acknowledgedNanos() > before - 4_000_000_000L);
         if (readers.size() < 2 * tolerated + 1) {
             return "of " + presentMachines().size() + " only " + readers + " answer reads after the recovery; "
                     + presentMachines().stream().map(SimulatedMachine::describe).toList();
@@ -213,7 +213,7 @@
     }
 
     private void check() {
-        boolean allWell = presentMachines().stream().allMatch(SimulatedMachine::isHealthy) && faults.isQuiet();
+        boolean allWell = presentMachines().stream().allMatch(SimulatedMachine::isHealthy) && faults.hasNoActiveFault();
         if (!allWell) {
             wellSinceMs = world.nowMs();
         } else if (world.nowMs() - wellSinceMs >= CATCH_UP_MS) {
--- a/src/test/java/routerfleet/control/ControlPlaneSimulationTest.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulationTest.java
@@ -25,7 +25,7 @@
     private static String play(long seed, int tolerated, FaultPlan plan) {
         ControlPlaneSimulation simulation = new ControlPlaneSimulation(seed, tolerated, plan, InjectedFault.NONE);
         String wrong = simulation.run();
-        assertThat(simulation.observations().orders.size(), is(greaterThan(10)));
+        assertThat(simulation.observations().updates.size(), is(greaterThan(10)));
         assertThat(simulation.observations().newestAcknowledged(), is(greaterThan(0L)));
         return wrong;
     }
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether nothing is cut, slow or otherwise in trouble on the way. */
-    boolean isQuiet() {
+    boolean hasNoActiveFault() {
         return cuts.isEmpty() && running == 0;
     }
 
--- a/src/test/java/routerfleet/control/HistoryChecker.java
+++ b/src/test/java/routerfleet/control/HistoryChecker.java
@@ -12,16 +12,16 @@
  */
 final class HistoryChecker {
     private final Observations seen;
-    private final Map<Long, List<Observations.Order>> byGeneration = new HashMap<>();
+    private final Map<Long, List<Observations.Update>> byGeneration = new HashMap<>();
     /** Which order made a generation, where a read or an acknowledgement shows it. */
-    private final Map<Long, Observations.Order> inForce = new HashMap<>();
+    private final Map<Long, Observations.Update> inForce = new HashMap<>();
 
     /** Up to which moment which generation was the newest acknowledged one. */
     private final TreeMap<Long, Long> acknowledged = new TreeMap<>();
 
     private HistoryChecker(Observations seen) {
         this.seen = seen;
-        seen.orders.values().stream().filter(o -> o.acknowledgedNanos() >= 0)
+        seen.updates.values().stream().filter(o -> o.acknowledgedNanos() >= 0)
                 .sorted((a, b) -> Long.compare(a.acknowledgedNanos(), b.acknowledgedNanos()))
                 .forEach(o -> acknowledged.put(o.acknowledgedNanos(),
                         Math.max(o.generation, newestAcknowledgedBefore(o.acknowledgedNanos()))));
@@ -46,10 +46,10 @@
     }
 
     private String ordersInForce() {
-        seen.orders.values().forEach(o -> byGeneration.computeIfAbsent(o.generation, g -> new ArrayList<>()).add(o));
-        for (Observations.Order order : seen.orders.values()) {
+        seen.updates.values().forEach(o -> byGeneration.computeIfAbsent(o.generation, g -> new ArrayList<>()).add(o));
+        for (Observations.Update order : seen.updates.values()) {
             if (order.acknowledgedNanos() >= 0) {
-                Observations.Order other = inForce.putIfAbsent(order.generation, order);
+                Observations.Update other = inForce.putIfAbsent(order.generation, order);
                 if (other != null) {
                     return "both acknowledged as generation " + order.generation + ": " + order.marker + ", "
                             + other.marker;
@@ -60,11 +60,11 @@
             if (read.generation() == 0) {
                 continue;
             }
-            Observations.Order order = orderOf(read);
+            Observations.Update order = orderOf(read);
             if (order == null) {
                 return "read at " + read.node() + " of what nobody sent: generation " + read.generation();
             }
-            Observations.Order other = inForce.putIfAbsent(read.generation(), order);
+            Observations.Update other = inForce.putIfAbsent(read.generation(), order);
             if (other != null && other != order) {
                 return "two configurations under one number: " + order.marker + ", " + other.marker;
             }
@@ -72,8 +72,8 @@
         return null;
     }
 
-    private Observations.Order orderOf(Observations.Read read) {
-        for (Observations.Order order : byGeneration.getOrDefault(read.generation(), List.of())) {
+    private Observations.Update orderOf(Observations.Read read) {
+        for (Observations.Update order : byGeneration.getOrDefault(read.generation(), List.of())) {
             if (read.document().contains("\"" + order.marker + "\"")) {
                 return order;
             }
@@ -83,9 +83,9 @@
 
     /** Each configuration in force builds on another one, and no two on the same. */
     private String oneChain() {
-        Map<Long, Observations.Order> byBase = new HashMap<>();
-        for (Observations.Order order : inForce.values()) {
-            Observations.Order other = byBase.put(order.base, order);
+        Map<Long, Observations.Update> byBase = new HashMap<>();
+        for (Observations.Update order : inForce.values()) {
+            Observations.Update other = byBase.put(order.base, order);
             if (other != null) {
                 return "two in force on the same base " + order.base + ": " + order.marker + ", " + other.marker;
             }
@@ -94,12 +94,12 @@
     }
 
     private String answers() {
-        for (Observations.Order order : seen.orders.values()) {
-            boolean refused = order.answers.stream().anyMatch(a -> a.status() / 100 == 4);
+        for (Observations.Update order : seen.updates.values()) {
+            boolean refused = order.responses.stream().anyMatch(a -> a.status() / 100 == 4);
             if (refused && inForce.get(order.generation) == order) {
                 return "refused, and in force or acknowledged: " + order.marker;
             }
-            for (Observations.Answer answer : order.answers) {
+            for (Observations.Response answer : order.responses) {
                 if (answer.status() == 412 && wasCurrent(order, answer)) {
                     return "refused as built on an old version, which was current: " + order.marker;
                 }
@@ -112,15 +112,15 @@
     }
 
     /** Whether an order's base was in force, and nothing else can have been, for as long as it was being answered. */
-    private boolean wasCurrent(Observations.Order order, Observations.Answer answer) {
+    private boolean wasCurrent(Observations.Update order, Observations.Response answer) {
         boolean baseKnown = order.base == 0 || inForce.containsKey(order.base)
                 && inForce.get(order.base).acknowledgedNanos() >= 0
                 && inForce.get(order.base).acknowledgedNanos() < answer.sentNanos();
         if (!baseKnown) {
             return false;
         }
-        return seen.orders.values().stream().noneMatch(other -> other != order && other.generation > order.base
-                && other.firstSentNanos < answer.answeredNanos());
+        return seen.updates.values().stream().noneMatch(other -> other != order && other.generation > order.base
+                && other.firstSentNanos < answer.receivedNanos());
     }
 
     private String reads() {
@@ -130,7 +130,7 @@
                 return "read at " + read.node() + " of generation " + read.generation() + " after " + acknowledged
                         + " was acknowledged";
             }
-            Observations.Order made = inForce.get(read.generation());
+            Observations.Update made = inForce.get(read.generation());
             if (made != null && made.firstSentNanos > read.answeredNanos()) {
                 return "generation " + read.generation() + " was read before it was sent";
             }
--- a/src/test/java/routerfleet/control/InjectedFault.java
+++ b/src/test/java/routerfleet/control/InjectedFault.java
@@ -134,8 +134,8 @@
     ReplicaStorage storage(Disk disk, VirtualProcess life, DiskWriter writer) {
         return new ReplicaStorage(disk, life, writer) {
             @Override
-            TallyStorage tallies() {
-                return isTallyFault() ? new FaultyTallyStorage(InjectedFault.this, disk, writer, life) : super.tallies();
+            TallyStorage tallyStorage() {
+                return isTallyFault() ? new FaultyTallyStorage(InjectedFault.this, disk, writer, life) : super.tallyStorage();
             }
 
             @Override
--- a/src/test/java/routerfleet/control/SimulatedClients.java
+++ b/src/test/java/routerfleet/control/SimulatedClients.java
@@ -137,16 +137,16 @@
                     ? "{\"generation\":" + generation + ",\"upsert\":{\"labels\":[{\"name\":\"" + marker + "\"}]}}"
                     : "{\"generation\":" + generation + ",\"mark\":\"" + marker + "\",\"rest\":\"" + "x".repeat(filler)
                             + "\"}";
-            Observations.Order order = new Observations.Order(marker, base, generation, world.nowNanos());
-            seen.orders.put(marker, order);
+            Observations.Update order = new Observations.Update(marker, base, generation, world.nowNanos());
+            seen.updates.put(marker, order);
             send(order, SimulatedHttp.request("POST", "/rowanplank/config/" + (patch ? "patch" : "replace"),
                     "Rowanplank-Base-Version: " + base + "\r\n", body), 0);
         }
 
-        private void send(Observations.Order order, String request, int tries) {
+        private void send(Observations.Update order, String request, int tries) {
             long sent = world.nowNanos();
             http.call(any(), request, answer -> {
-                order.answers.add(new Observations.Answer(sent, world.nowNanos(), answer.status()));
+                order.responses.add(new Observations.Response(sent, world.nowNanos(), answer.status()));
                 if (answer.status() == 200) {
                     base = order.generation;
                     onAcknowledged.run();
