--- a/src/test/java/rowanplank/balancer/SimulatedSite.java
+++ b/src/test/java/rowanplank/balancer/SimulatedSite.java
@@ -23,9 +23,10 @@
 import rowanplank.balancer.BalancerApi.Settings;
 
 /**
- * Some modules and the servers that they share, in virtual time and without sockets, to see whom a module favours, and
- * for how long. An answer takes its work at its server's speed, longer the more the server holds for its two cores; a
- * withdrawn try runs on. Same seed, same run.
+ * A simulation of some modules and the servers that they share, in virtual time and without sockets, to see which
+ * servers a module prefers and for how long. A response takes the request's work at the server's speed, and longer
+ * the more requests the server holds for its two cores. A cancelled attempt keeps running. The same seed gives the
+ * same run.
  */
 final class SimulatedSite {
     static final int COMMON = 0;
@@ -36,10 +37,10 @@
     private static final double RARE_WORK = 200;
     private static final double PAUSE_EVERY = 1500;
 
-    /** What a server does to a try that begins while it is in trouble. */
+    /** How a faulty server handles an attempt that begins during the fault. */
     enum FaultKind { NONE, SLOW, PAUSES, RESETS, SILENT }
 
-    /** One send; {@code outcome} stays null while it is out. */
+    /** One attempt; {@code outcome} is null while it is pending. */
     static final class Sent {
         final double at;
         final int node;
@@ -56,15 +57,15 @@
         }
     }
 
-    private record Due(double at, long order, Runnable what) { }
+    private record ScheduledEvent(double at, long order, Runnable action) { }
 
-    private static final class Asked {
+    private static final class OpenRequest {
         final int type;
         final double deadline;
-        final List<Sent> tries = new ArrayList<>();
+        final List<Sent> attempts = new ArrayList<>();
         boolean ended;
 
-        Asked(int type, double deadline) {
+        OpenRequest(int type, double deadline) {
             this.type = type;
             this.deadline = deadline;
         }
@@ -77,26 +78,32 @@
     private final int servers;
     private final double rareShare;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> agenda =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
+            Comparator.comparingDouble(ScheduledEvent::at).thenComparingLong(ScheduledEvent::order));
     private final Node[] nodes;
     private final double[] speed;
-    private final FaultKind[] trouble;
-    private final double[] size;
-    private final int[] held;
+    private final FaultKind[] faults;
+    private final double[] severity;
+    private final int[] requestsHeld;
     private long order;
     private long requests;
 
-    /** @param speeds of the servers, 1 for the usual one */
+    /**
+     * Creates a site.
+     *
+     * @param ratePerS requests per second, over all nodes
+     * @param rareShare the fraction of requests of the class {@link #RARE}
+     * @param speeds the speeds of the servers, 1 for a normal one
+     */
     SimulatedSite(long seed, int nodes, double ratePerS, double rareShare, double... speeds) {
         random = new SplittableRandom(seed);
         servers = speeds.length;
         this.rareShare = rareShare;
         speed = speeds;
-        trouble = new FaultKind[servers];
-        size = new double[servers];
-        held = new int[servers];
-        java.util.Arrays.fill(trouble, FaultKind.NONE);
+        faults = new FaultKind[servers];
+        severity = new double[servers];
+        requestsHeld = new int[servers];
+        java.util.Arrays.fill(faults, FaultKind.NONE);
         this.nodes = new Node[nodes];
         for (int n = 0; n < nodes; n++) {
             restart(n);
@@ -114,50 +121,51 @@
                 new Rules(10_000, 0.12, 24_000, 2.5), false, false, false, 0);
     }
 
-    /** One module, and what it has asked for. */
+    /** One module, and its open requests. */
     private final class Node implements Actions {
         final int number;
-        final Events module;
-        final Map<Long, Asked> open = new HashMap<>();
+        final Events balancer;
+        final Map<Long, OpenRequest> open = new HashMap<>();
 
         Node(int number) {
             this.number = number;
-            module = new Balancer(settings(number), 42 + number + random.nextInt(1000), this);
+            balancer = new Balancer(settings(number), 42 + number + random.nextInt(1000), this);
         }
 
         @Override
         public void send(long request, long server, double timeoutMs) {
-            Asked asked = open.get(request);
+            OpenRequest r = open.get(request);
             int s = (int) server - 1;
-            int attempt = asked.tries.size();
-            Sent out = new Sent(now, number, s, asked.type);
-            asked.tries.add(out);
-            sent.add(out);
-            held[s]++;
-            double work = (asked.type == COMMON ? COMMON_WORK : RARE_WORK) * (0.7 + 0.6 * random.nextDouble());
-            double takes = work / speed[s] * Math.max(1, held[s] / CORES) * (trouble[s] == FaultKind.SLOW ? size[s] : 1);
-            takes += trouble[s] == FaultKind.PAUSES ? pause(takes, size[s]) : 0;
-            boolean resets = trouble[s] == FaultKind.RESETS && random.nextDouble() < size[s];
-            boolean silent = trouble[s] == FaultKind.SILENT && random.nextDouble() < size[s];
-            at(now + takes, () -> held[s]--);
-            double answers = resets ? takes / 4 : silent ? Double.MAX_VALUE : takes;
-            Outcome outcome = answers > timeoutMs ? Outcome.TIMEOUT : resets ? Outcome.RESET : Outcome.OK;
-            at(now + Math.min(answers, timeoutMs), () -> ended(request, attempt, outcome));
+            int attempt = r.attempts.size();
+            Sent sentAttempt = new Sent(now, number, s, r.type);
+            r.attempts.add(sentAttempt);
+            sent.add(sentAttempt);
+            requestsHeld[s]++;
+            double work = (r.type == COMMON ? COMMON_WORK : RARE_WORK) * (0.7 + 0.6 * random.nextDouble());
+            double serviceTime = work / speed[s] * Math.max(1, requestsHeld[s] / CORES)
+                    * (faults[s] == FaultKind.SLOW ? severity[s] : 1);
+            serviceTime += faults[s] == FaultKind.PAUSES ? pause(serviceTime, severity[s]) : 0;
+            boolean resets = faults[s] == FaultKind.RESETS && random.nextDouble() < severity[s];
+            boolean silent = faults[s] == FaultKind.SILENT && random.nextDouble() < severity[s];
+            at(now + serviceTime, () -> requestsHeld[s]--);
+            double responseTime = resets ? serviceTime / 4 : silent ? Double.MAX_VALUE : serviceTime;
+            Outcome outcome = responseTime > timeoutMs ? Outcome.TIMEOUT : resets ? Outcome.RESET : Outcome.OK;
+            at(now + Math.min(responseTime, timeoutMs), () -> ended(request, attempt, outcome));
         }
 
         private void ended(long request, int attempt, Outcome outcome) {
-            Asked asked = open.get(request);
-            Sent out = asked.tries.get(attempt);
-            if (out.outcome != null || nodes[number] != this) {
+            OpenRequest r = open.get(request);
+            Sent sentAttempt = r.attempts.get(attempt);
+            if (sentAttempt.outcome != null || nodes[number] != this) {
                 return;
             }
-            out.outcome = outcome;
-            out.latency = now - out.at;
-            if (outcome == Outcome.OK && !asked.ended) {
-                asked.ended = true;
+            sentAttempt.outcome = outcome;
+            sentAttempt.latency = now - sentAttempt.at;
+            if (outcome == Outcome.OK && !r.ended) {
+                r.ended = true;
                 served++;
             }
-            module.onOutcome(now, request, attempt, outcome, out.latency, asked.ended);
+            balancer.onOutcome(now, request, attempt, outcome, sentAttempt.latency, r.ended);
         }
 
         @Override
@@ -180,7 +188,7 @@
         public void timer(double delayMs, long token) {
             at(now + delayMs, () -> {
                 if (nodes[number] == this) {
-                    module.onTimer(now, token);
+                    balancer.onTimer(now, token);
                 }
             });
         }
@@ -195,31 +203,34 @@
         public void log(String line) { }
     }
 
-    /** How long a try that would take so long waits, where the server stands still for a while each second and a half. */
-    private double pause(double takes, double length) {
+    /**
+     * How long an attempt with this service time waits at a server that pauses for {@code length} every {@link
+     * #PAUSE_EVERY}.
+     */
+    private double pause(double serviceTime, double length) {
         double since = now % PAUSE_EVERY;
-        return (since < length ? length - since : 0) + (since + takes > PAUSE_EVERY ? length : 0);
+        return (since < length ? length - since : 0) + (since + serviceTime > PAUSE_EVERY ? length : 0);
     }
 
-    private void at(double time, Runnable what) {
-        agenda.add(new Due(time, order++, what));
+    private void at(double time, Runnable action) {
+        events.add(new ScheduledEvent(time, order++, action));
     }
 
-    /** The node begins anew, knowing nothing but the list of servers; what it had out is lost. */
+    /** Restarts the node, which then knows only the list of servers; its pending attempts are lost. */
     void restart(int node) {
         nodes[node] = new Node(node);
         List<Server> list = new ArrayList<>();
         for (int s = 1; s <= servers; s++) {
             list.add(new Server(s, 0, 0, Lifecycle.READY, 1, 0));
         }
-        nodes[node].module.onServers(now, ListKind.FULL, list);
+        nodes[node].balancer.onServers(now, ListKind.FULL, list);
     }
 
-    /** From now on, for these servers. */
-    void injectFault(FaultKind kind, double howMuch, int... which) {
+    /** Sets the fault of these servers from now on. */
+    void injectFault(FaultKind fault, double amount, int... which) {
         for (int s : which) {
-            trouble[s] = kind;
-            size[s] = howMuch;
+            faults[s] = fault;
+            severity[s] = amount;
         }
     }
 
@@ -229,18 +240,18 @@
             int type = random.nextDouble() < rareShare ? RARE : COMMON;
             long id = ++requests;
             RequestClass c = classes()[type];
-            node.open.put(id, new Asked(type, now + c.deadlineMs()));
-            node.module.onRequest(now, new Request(id, type, 0, 0, now + c.deadlineMs(), 0, false));
+            node.open.put(id, new OpenRequest(type, now + c.deadlineMs()));
+            node.balancer.onRequest(now, new Request(id, type, 0, 0, now + c.deadlineMs(), 0, false));
             arrive(meanGap);
         });
     }
 
     void run(double ms) {
         double until = now + ms;
-        while (agenda.peek().at() <= until) {
-            Due due = agenda.poll();
-            now = due.at();
-            due.what().run();
+        while (events.peek().at() <= until) {
+            ScheduledEvent next = events.poll();
+            now = next.at();
+            next.action().run();
         }
         now = until;
     }
@@ -249,13 +260,16 @@
         return sent.stream().filter(s -> s.at >= from && s.at < to && which.test(s)).toList();
     }
 
-    /** A server's sends over those that it would get if all got the same. */
+    /** A server's attempts relative to an equal share of all attempts. */
     double share(int server, double from, double to, Predicate<Sent> which) {
         List<Sent> all = sent(from, to, which);
         return all.isEmpty() ? 0 : all.stream().filter(s -> s.server == server).count() * (double) servers / all.size();
     }
 
-    /** Seconds from then until the server has had this part of an equal share over a whole window. */
+    /**
+     * Seconds from {@code since} until the server has had this fraction of an equal share over a whole window;
+     * infinite if it never had.
+     */
     double secondsToShare(int server, double since, double part, double windowMs, Predicate<Sent> which) {
         for (double at = since; at + windowMs <= now; at += 250) {
             if (share(server, at, at + windowMs, which) >= part) {
--- a/src/test/java/rowanplank/decision/DecisionDriverTest.java
+++ b/src/test/java/rowanplank/decision/DecisionDriverTest.java
@@ -39,6 +39,7 @@
 import rowanplank.net.SelectorLoop;
 import rowanplank.net.SystemClock;
 
+/** Tests of {@link DecisionDriver}, with this class as the sender of attempts. */
 @Timeout(60)
 class DecisionDriverTest implements AttemptSender {
     private static final String SETTINGS = """
@@ -47,9 +48,9 @@
 
     private final Clock clock = new SystemClock();
     private final Counters counters = new Counters();
-    private final BlockingQueue<Response> answers = new LinkedBlockingQueue<>();
-    private final List<Long> tried = new ArrayList<>();
-    private boolean stays;
+    private final BlockingQueue<Response> responses = new LinkedBlockingQueue<>();
+    private final List<Long> attemptedServers = new ArrayList<>();
+    private boolean staysPending;
     private final RateLimitedLog log = new RateLimitedLog(clock, RateLimitedLog.Sink.system());
     private final SelectorLoop loop = new SelectorLoop(clock, e -> log.warn("unexpected", e));
     private final DecisionDriver decisions =
@@ -66,25 +67,25 @@
         loop.stop();
     }
 
-    private Response ask(int classIndex) throws InterruptedException {
+    private Response respondTo(int classIndex) throws InterruptedException {
         loop.execute(() -> {
             Instant now = clock.now();
             decisions.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             decisions.open(new RequestContext("id", classIndex, false, now, now.plusMillis(200),
-                    new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add);
+                    new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), responses::add);
         });
-        return answers.take();
+        return responses.take();
     }
 
     private static Server server(long id) {
         return new Server(id, 0, 0, Lifecycle.READY, 1, 0);
     }
 
-    /** Each try fails within the module's own action, unless it is to stay out. */
+    /** Each attempt fails within the module's own action, unless it is to stay pending. */
     @Override
     public void send(Exchange.Attempt attempt) {
-        tried.add(attempt.server());
-        if (stays) {
+        attemptedServers.add(attempt.server());
+        if (staysPending) {
             attempt.sendStarted();
         } else {
             attempt.end(Outcome.CONNECT_FAILED, null);
@@ -100,24 +101,28 @@
     }
 
     @Override
-    public void closeIdle(long peer) { }
+    public void closeIdle(long server) { }
 
-    /** Guards against actions that call back: the module would see an outcome before its send had returned. */
+    /**
+     * An outcome within an action must wait until the module returns; otherwise the module would see it before its
+     * send action has returned.
+     */
     @Test
     void anOutcomeWithinASendWaitsUntilTheModuleIsDone() throws Exception {
-        Response answer = ask(0);
-        assertEquals(new Response.Rejected(Duration.ofMillis(10)), answer, "advice is cut to the site's bound");
-        assertEquals(Set.of(1L, 2L), new TreeSet<>(tried));
-        assertEquals(2, tried.size(), "each server once");
+        Response response = respondTo(0);
+        assertEquals(new Response.Rejected(Duration.ofMillis(10)), response, "advice is limited to the site's maximum");
+        assertEquals(Set.of(1L, 2L), new TreeSet<>(attemptedServers));
+        assertEquals(2, attemptedServers.size(), "each server once");
         assertEquals(0, counters.get(Count.INTERNAL_FAILURES));
     }
 
-    /** The same, as the module sees it: it is never called from within one of its own events. */
+    /** The module must never be called from within one of its own events. */
     @Test
     void theModuleIsNeverCalledFromWithinItself() throws Exception {
         int[] depth = new int[1];
         boolean[] nested = new boolean[1];
-        DecisionDriver watched = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
+        DecisionDriver driver = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log,
+                (site, seed, actions) -> {
             Balancer module = new Balancer(site, seed, actions);
             return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), new Class<?>[] {Events.class},
                     (proxy, event, arguments) -> {
@@ -130,22 +135,26 @@
                     });
         });
         loop.execute(() -> {
-            watched.setSender(this);
-            watched.updateServers(ListKind.FULL, List.of(server(1), server(2)));
+            driver.setSender(this);
+            driver.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             Instant now = clock.now();
-            watched.open(new RequestContext("id", 0, false, now, now.plusMillis(200),
-                    new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add);
+            driver.open(new RequestContext("id", 0, false, now, now.plusMillis(200),
+                    new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), responses::add);
         });
-        answers.take();
+        responses.take();
         assertFalse(nested[0]);
-        assertEquals(2, tried.size());
+        assertEquals(2, attemptedServers.size());
     }
 
-    /** The module takes a server for silent that it hears nothing of; it has to know that a body is still on its way. */
+    /**
+     * The module considers a server silent from which it receives nothing, so it must be told that a body is still
+     * being sent, and only then.
+     */
     @Test
-    void theModuleHearsOfABodyThatIsStillComingAndOnlyOfSuch() throws Exception {
+    void theModuleLearnsOfABodyThatIsStillBeingSentAndOnlyThen() throws Exception {
         List<String> events = new ArrayList<>();
-        DecisionDriver told = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log, (site, seed, actions) -> {
+        DecisionDriver driver = new DecisionDriver(SettingsReader.parse(SETTINGS), 1, loop, counters, log,
+                (site, seed, actions) -> {
             Balancer module = new Balancer(site, seed, actions);
             return (Events) Proxy.newProxyInstance(Events.class.getClassLoader(), new Class<?>[] {Events.class},
                     (proxy, event, arguments) -> {
@@ -153,52 +162,55 @@
                         return event.invoke(module, arguments);
                     });
         });
-        List<String> heard = loop.call(() -> {
-            stays = true;
-            told.setSender(this);
-            told.updateServers(ListKind.FULL, List.of(server(1), server(2)));
-            open(told, "held", null);
-            open(told, "comes", new Transfer(new Transfer.BufferBudget(), null));
-            Transfer whole = new Transfer(new Transfer.BufferBudget(), null);
-            whole.end();
-            open(told, "has come", whole);
-            return List.copyOf(events); // on the loop's thread: the module's own timers come later
+        List<String> reported = loop.call(() -> {
+            staysPending = true;
+            driver.setSender(this);
+            driver.updateServers(ListKind.FULL, List.of(server(1), server(2)));
+            open(driver, "held", null);
+            open(driver, "comes", new Transfer(new Transfer.BufferBudget(), null));
+            Transfer received = new Transfer(new Transfer.BufferBudget(), null);
+            received.end();
+            open(driver, "has come", received);
+            return List.copyOf(events); // still on the loop's thread, before the module's own timers
         });
-        assertEquals(List.of("onServers", "onRequest", "onRequest", "onStreamStarted", "onRequest"), heard);
+        assertEquals(List.of("onServers", "onRequest", "onRequest", "onStreamStarted", "onRequest"), reported);
     }
 
     private void open(DecisionDriver at, String id, Transfer rest) {
         Instant now = clock.now();
         at.open(new RequestContext(id, 0, false, now, now.plusSeconds(20),
                 new RequestContext.Payload("POST", "/a", List.of(), new byte[9], rest == null ? null
-                        : new RequestContext.Upload(-1, Duration.ofSeconds(1), rest))), answers::add);
+                        : new RequestContext.Upload(-1, Duration.ofSeconds(1), rest))), responses::add);
     }
 
-    /** Guards against places that stay taken: a client leaves, its try is withdrawn, and the module must hear of it. */
+    /**
+     * When a client disconnects, its attempt is cancelled, and the module must still get the outcome; otherwise the
+     * slot would stay taken.
+     */
     @Test
-    void theOutcomeOfATryWhoseClientLeftIsTold() throws Exception {
+    void theOutcomeOfAnAttemptWhoseClientLeftIsReported() throws Exception {
         BlockingQueue<Integer> open = new LinkedBlockingQueue<>();
         loop.execute(() -> {
-            stays = true;
+            staysPending = true;
             Instant now = clock.now();
             decisions.updateServers(ListKind.FULL, List.of(server(1), server(2)));
             for (int i = 0; i < 100; i++) {
                 decisions.open(new RequestContext("id" + i, 0, false, now, now.plusSeconds(20),
-                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), answers::add).clientLeft();
+                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), responses::add).clientLeft();
             }
             open.add(decisions.openCount());
         });
         assertEquals(0, open.take());
-        assertEquals(100, tried.size(), "there is room for each, as all before it have ended");
+        assertEquals(100, attemptedServers.size(), "there is a free slot for each, as all before it have ended");
     }
 
-    /** Guards runs that are to repeat: what ends all that is open must not do so in the order of a hash. */
+    /** Runs must be repeatable, so all open requests must not be ended in the order of a hash table. */
     @Test
-    void whatIsOpenIsRejectedInTheOrderInWhichItWasTaken() throws Exception {
+    void openRequestsAreRejectedInTheOrderOfTheirArrival() throws Exception {
         BlockingQueue<List<String>> rejected = new LinkedBlockingQueue<>();
         loop.execute(() -> {
             List<String> order = new ArrayList<>();
-            List<Exchange> first = open(0, 10, order); // numbers that have gone by: later ones wrap round in a table
+            List<Exchange> first = open(0, 10, order); // uses up numbers, so that later ones wrap around in a table
             first.forEach(Exchange::clientLeft);
             open(10, 22, order);
             decisions.stop();
@@ -207,15 +219,18 @@
         assertEquals(IntStream.range(10, 22).mapToObj(i -> "id" + i).toList(), rejected.take());
     }
 
-    /** Guards unsafe requests at a stop: one whose attempt may have run must not be told that it may be sent again. */
+    /**
+     * At a stop, a request that must run only once and whose attempt may have run must not be rejected, since its
+     * client could send it again.
+     */
     @Test
-    void atAStopARequestIsRefusedOnlyWhereARepeatIsHarmless() throws Exception {
+    void atAStopARequestIsRejectedOnlyWhereARetryIsHarmless() throws Exception {
         String settings = SETTINGS.replace("}],", "}, {\"name\": \"b\", \"aim_ms\": 50, \"deadline_ms\": 200, "
                 + "\"effect\": \"once\"}],");
         DecisionDriver stopping = new DecisionDriver(SettingsReader.parse(settings), 1, loop, counters, log);
-        Map<String, Response> answered = loop.call(() -> {
+        Map<String, Response> responsesById = loop.call(() -> {
             Map<String, Response> byId = new TreeMap<>();
-            stays = true;
+            staysPending = true;
             stopping.setSender(this);
             openAt(stopping, "held", 1, byId);
             stopping.updateServers(ListKind.FULL, List.of(server(1), server(2)));
@@ -228,32 +243,32 @@
             openAt(stopping, "comes after", 1, byId);
             return byId;
         });
-        Response refused = new Response.Rejected(Duration.ofMillis(10));
+        Response rejected = new Response.Rejected(Duration.ofMillis(10));
         assertEquals(Map.of("held", new Response.Failed(), "unsafe and held", new Response.Failed(), "unsafe and sent",
-                new Response.Failed(), "safe and sent", refused, "comes after", refused), answered);
-        assertEquals(4, tried.size(), "what comes after is not sent on");
+                new Response.Failed(), "safe and sent", rejected, "comes after", rejected), responsesById);
+        assertEquals(4, attemptedServers.size(), "requests after the stop are not sent");
         assertEquals(0, counters.get(Count.INTERNAL_FAILURES));
     }
 
-    private void openAt(DecisionDriver at, String id, int classIndex, Map<String, Response> answered) {
+    private void openAt(DecisionDriver at, String id, int classIndex, Map<String, Response> responsesById) {
         Instant now = clock.now();
         at.open(new RequestContext(id, classIndex, false, now, now.plusSeconds(20),
-                new RequestContext.Payload("POST", "/a", List.of(), new byte[0])), a -> answered.put(id, a));
+                new RequestContext.Payload("POST", "/a", List.of(), new byte[0])), a -> responsesById.put(id, a));
     }
 
-    private List<Exchange> open(int from, int to, List<String> answered) {
+    private List<Exchange> open(int from, int to, List<String> responsesById) {
         Instant now = clock.now();
         return IntStream.range(from, to).mapToObj(i -> "id" + i)
                 .map(id -> decisions.open(new RequestContext(id, 0, false, now, now.plusSeconds(20),
-                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), a -> answered.add(id)))
+                        new RequestContext.Payload("GET", "/a", List.of(), new byte[0])), a -> responsesById.add(id)))
                 .toList();
     }
 
-    /** Guards the deadline: the module throws at a class it does not know, and says nothing more of the request. */
+    /** If the module throws at an unknown class and never responds, the request must fail at its deadline. */
     @Test
     void aRequestThatTheModuleLeavesUnansweredIsFailedAtItsDeadline() throws Exception {
-        assertInstanceOf(Response.Failed.class, ask(9));
+        assertInstanceOf(Response.Failed.class, respondTo(9));
         assertEquals(1, counters.get(Count.ANSWERS_OVERDUE));
-        assertEquals(0, answers.size());
+        assertEquals(0, responses.size());
     }
 }
--- a/src/test/java/rowanplank/exchange/ExchangeTest.java
+++ b/src/test/java/rowanplank/exchange/ExchangeTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import rowanplank.balancer.BalancerApi.Outcome;
 
+/** Tests of {@link Exchange}. */
 class ExchangeTest implements Exchange.Listener {
     private static final Instant NOW = Instant.EPOCH;
     private static final Instant DEADLINE = NOW.plusSeconds(1);
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void thereIsOneFinalAnswer() {
+    void thereIsOneFinalResponse() {
         assertTrue(exchange.respond(new Response.Failed()));
         assertFalse(exchange.respond(new Response.Rejected(Duration.ZERO)));
         exchange.clientLeft();
@@ -43,16 +44,16 @@
     }
 
     @Test
-    void aClientThatLeftIsAnsweredNoMore() {
+    void aClientThatLeftGetsNoResponse() {
         exchange.clientLeft();
         assertFalse(exchange.respond(new Response.Failed()));
         assertEquals(List.of("departed"), seen);
     }
 
     @Test
-    void oneTryIsOutAtATimeAndEachHasOneOutcome() {
+    void oneAttemptIsPendingAtATimeAndEachHasOneOutcome() {
         Exchange.Attempt first = exchange.beginAttempt(0, 7, NOW, DEADLINE.plusSeconds(5));
-        assertEquals(DEADLINE, first.timeoutAt(), "no try outlasts its request");
+        assertEquals(DEADLINE, first.timeoutAt(), "no attempt outlasts its request");
         assertNull(exchange.beginAttempt(1, 8, NOW, DEADLINE));
         first.end(Outcome.RESET, null);
         first.end(Outcome.TIMEOUT, null);
--- a/src/test/java/rowanplank/exchange/TransferTest.java
+++ b/src/test/java/rowanplank/exchange/TransferTest.java
@@ -14,11 +14,12 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
+/** Tests of {@link Transfer}, with this class as the source. */
 class TransferTest implements Transfer.Source {
-    private static final int PIECE = 20_000;
+    private static final int CHUNK_BYTES = 20_000;
 
-    private final Transfer.BufferBudget room = new Transfer.BufferBudget();
-    private final Transfer transfer = new Transfer(room, this);
+    private final Transfer.BufferBudget budget = new Transfer.BufferBudget();
+    private final Transfer transfer = new Transfer(budget, this);
     private int resumed;
     private int abandoned;
 
@@ -32,24 +33,28 @@
         abandoned++;
     }
 
-    /** What comes goes on in order and once, and no more is held than the bound and one piece, at any pace of both sides. */
+    /**
+     * Bytes must pass in order and once, with no more held than the window and one chunk, whatever the pace of both
+     * sides.
+     */
     @Property(seed = "31")
-    void bytesPassInOrderWithinTheBound(@ForAll @Size(max = 200) List<@IntRange(min = 1, max = PIECE) Integer> steps) {
+    void bytesPassInOrderWithinTheBound(
+            @ForAll @Size(max = 200) List<@IntRange(min = 1, max = CHUNK_BYTES) Integer> steps) {
         int sent = 0;
         int got = 0;
-        boolean room = true;
+        boolean mayOffer = true;
         for (int step : steps) {
-            if (step % 2 == 0 && (room || resumed > 0)) {
-                ByteBuffer piece = ByteBuffer.allocate(step);
+            if (step % 2 == 0 && (mayOffer || resumed > 0)) {
+                ByteBuffer chunk = ByteBuffer.allocate(step);
                 for (int i = 0; i < step; i++) {
-                    piece.put((byte) sent++);
+                    chunk.put((byte) sent++);
                 }
                 resumed = 0;
-                room = transfer.offer(piece.flip());
+                mayOffer = transfer.offer(chunk.flip());
             } else {
                 got = take(got);
             }
-            assertTrue(this.room.heldBytes() <= Transfer.WINDOW + PIECE);
+            assertTrue(budget.heldBytes() <= Transfer.WINDOW + CHUNK_BYTES);
         }
         transfer.end();
         for (int before = -1; before != got;) {
@@ -58,61 +63,64 @@
         }
         assertEquals(sent, got);
         assertTrue(transfer.isFullyRead());
-        assertEquals(0, this.room.heldBytes());
+        assertEquals(0, budget.heldBytes());
     }
 
     private int take(int got) {
-        ByteBuffer piece = transfer.poll();
+        ByteBuffer chunk = transfer.poll();
         int at = got;
-        while (piece != null && piece.hasRemaining()) {
-            assertEquals((byte) at++, piece.get());
+        while (chunk != null && chunk.hasRemaining()) {
+            assertEquals((byte) at++, chunk.get());
         }
         return at;
     }
 
-    /** Guards the heap: where all together hold much, each stops with little. */
+    /** Where all transfers together hold much memory, each must pause with a small window. */
     @Example
-    void whereAllHoldMuchEachHoldsLittle() {
+    void whereAllTransfersHoldMuchEachHoldsLittle() {
         List<Transfer> others = new ArrayList<>();
-        while (room.heldBytes() <= Transfer.BufferBudget.SMALL_WINDOW_THRESHOLD) {
-            Transfer other = new Transfer(room, this);
-            while (other.offer(ByteBuffer.allocate(PIECE))) { }
+        while (budget.heldBytes() <= Transfer.BufferBudget.SMALL_WINDOW_THRESHOLD) {
+            Transfer other = new Transfer(budget, this);
+            while (other.offer(ByteBuffer.allocate(CHUNK_BYTES))) { }
             others.add(other);
         }
         assertFalse(transfer.offer(ByteBuffer.allocate(Transfer.SMALL_WINDOW)));
         others.forEach(Transfer::abandon);
-        assertEquals(Transfer.SMALL_WINDOW, room.heldBytes());
+        assertEquals(Transfer.SMALL_WINDOW, budget.heldBytes());
         assertEquals(others.size(), abandoned);
     }
 
-    /** Room that is never given back would stop all others in the end. */
+    /**
+     * Every way to end a transfer must return its bytes to the budget; bytes never returned would in the end slow all
+     * other transfers.
+     */
     @Example
-    void whateverEndsItGivesItsRoomBack() {
+    void everyEndReturnsItsBytesToTheBudget() {
         List<Runnable> endings = List.of(transfer::fail, transfer::abandon, transfer::discard);
         for (int i = 0; i < endings.size(); i++) {
-            Transfer other = new Transfer(room, this);
-            other.offer(ByteBuffer.allocate(PIECE));
+            Transfer other = new Transfer(budget, this);
+            other.offer(ByteBuffer.allocate(CHUNK_BYTES));
             other.poll();
-            other.offer(ByteBuffer.allocate(PIECE));
+            other.offer(ByteBuffer.allocate(CHUNK_BYTES));
             List.<Runnable>of(other::fail, other::abandon, other::discard).get(i).run();
-            assertEquals(0, room.heldBytes());
+            assertEquals(0, budget.heldBytes());
             assertNull(other.poll());
-            assertFalse(other.isFullyRead(), "it must not pass for whole");
-            other.offer(ByteBuffer.allocate(PIECE));
-            assertEquals(0, room.heldBytes(), "nothing is taken after its end");
+            assertFalse(other.isFullyRead(), "it must not count as complete");
+            other.offer(ByteBuffer.allocate(CHUNK_BYTES));
+            assertEquals(0, budget.heldBytes(), "nothing is taken after its end");
         }
     }
 
     @Example
-    void theSinkHearsOfEachPieceOfTheEndAndOfAFailure() {
-        List<String> heard = new ArrayList<>();
+    void theReaderIsToldOfEachChunkAndOfTheEnd() {
+        List<String> calls = new ArrayList<>();
         transfer.offer(ByteBuffer.allocate(1));
         assertFalse(transfer.hasReadStarted());
-        transfer.setReader(() -> heard.add(transfer.poll() + " " + transfer.isFullyRead() + transfer.hasFailed()));
+        transfer.setReader(() -> calls.add(transfer.poll() + " " + transfer.isFullyRead() + transfer.hasFailed()));
         transfer.offer(ByteBuffer.allocate(2));
         transfer.end();
         assertTrue(transfer.hasReadStarted());
-        assertEquals(3, heard.size());
-        assertEquals("null truefalse", heard.get(2));
+        assertEquals(3, calls.size());
+        assertEquals("null truefalse", calls.get(2));
     }
 }
--- a/src/test/java/rowanplank/neural/RandomNeuralNetworkTest.java
+++ b/src/test/java/rowanplank/neural/RandomNeuralNetworkTest.java
@@ -8,12 +8,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What the random neural network learns, and what it keeps. */
+/** Tests what the random neural network learns and what it keeps. */
 class RandomNeuralNetworkTest {
     /** The fixed point of q = (1/4 + q/2) / (1 + q/2), which equal weights give. */
     private static final double EQUAL_Q = (Math.sqrt(3) - 1) / 2;
 
-    private static List<Neuron> enter(RandomNeuralNetwork network, int n) {
+    private static List<Neuron> addNeurons(RandomNeuralNetwork network, int n) {
         List<Neuron> neurons = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             neurons.add(network.addNeuron());
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void equalWeightsGiveTheFixedPointWorkedByHand() {
-        for (Neuron neuron : enter(new RandomNeuralNetwork(), 5)) {
+    void equalWeightsGiveTheFixedPointCalculatedByHand() {
+        for (Neuron neuron : addNeurons(new RandomNeuralNetwork(), 5)) {
             assertEquals(EQUAL_Q, neuron.q, 1e-3);
         }
     }
 
     @Test
-    void aloneAServerKeepsItsQ() {
+    void aSingleServerKeepsItsQ() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
         Neuron only = network.addNeuron();
         network.solve();
@@ -39,23 +39,23 @@
     }
 
     @Test
-    void oneRewardChangesTheWeightsAsWorkedByHand() {
+    void oneRewardChangesTheWeightsAsCalculatedByHand() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 4);
-        network.learn(s.get(0), 100, true); // sets the mean; payoff equals the threshold, so it counts as no win
+        List<Neuron> s = addNeurons(network, 4);
+        network.learn(s.get(0), 100, true); // sets the mean; the reward equals the threshold, so the server is not rewarded
         double before = s.get(1).excitatoryColumn;
         network.learn(s.get(1), 50, true);
         double mean = 0.95 * 100 + 0.05 * 50;
-        double payoff = 0.1 * mean / 50;
-        assertEquals(before * 0.99 + payoff, s.get(1).excitatoryColumn, 1e-12);
-        assertEquals(payoff / 2, s.get(1).inhibitoryRow, 1e-12);
+        double reward = 0.1 * mean / 50;
+        assertEquals(before * 0.99 + reward, s.get(1).excitatoryColumn, 1e-12);
+        assertEquals(reward / 2, s.get(1).inhibitoryRow, 1e-12);
         assertTrue(s.get(1).q > s.get(2).q);
     }
 
     @Test
     void ofTwoServersTheFasterHasTheHigherQ() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 2);
+        List<Neuron> s = addNeurons(network, 2);
         for (int i = 0; i < 50; i++) {
             network.learn(s.get(0), 10, true);
             network.learn(s.get(1), 40, true);
@@ -66,7 +66,7 @@
     @Test
     void failuresLowerQ() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 4);
+        List<Neuron> s = addNeurons(network, 4);
         for (int i = 0; i < 200; i++) {
             network.learn(s.get(i % 4), i % 4 == 3 ? 1000 : 20, i % 4 != 3);
         }
@@ -76,7 +76,7 @@
     @Test
     void qStaysWithinBoundsAfterALongOneSidedRun() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 6);
+        List<Neuron> s = addNeurons(network, 6);
         for (int i = 0; i < 100_000; i++) {
             network.learn(s.get(i % 2), i % 2 == 0 ? 0.001 : 10_000, i % 2 == 0);
         }
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void aSlowdownOfAllServersBlamesNone() {
+    void aSlowdownOfAllServersLowersNoQ() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 4);
+        List<Neuron> s = addNeurons(network, 4);
         for (int i = 0; i < 2000; i++) {
             network.learn(s.get(i % 4), i < 1000 ? 20 : 200, true);
         }
@@ -98,27 +98,30 @@
     }
 
     @Test
-    void entryAndExitKeepWhatOthersLearned() {
+    void addingAndRemovingNeuronsKeepsWhatOthersLearned() {
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, 4);
+        List<Neuron> s = addNeurons(network, 4);
         for (int i = 0; i < 400; i++) {
             network.learn(s.get(i % 4), 10 + 20 * (i % 4), true);
         }
         double up = s.get(0).excitatoryColumn;
-        Neuron newcomer = network.addNeuron();
+        Neuron added = network.addNeuron();
         network.solve();
         network.removeNeuron(s.get(2));
         network.solve();
         assertEquals(up, s.get(0).excitatoryColumn);
-        assertTrue(s.get(0).q > newcomer.q && newcomer.q > s.get(3).q);
+        assertTrue(s.get(0).q > added.q && added.q > s.get(3).q);
     }
 
-    /** The plain form of the design page: full weight matrices, every row updated by itself. */
+    /**
+     * The column and row values must equal the plain form of the algorithm: full weight matrices of which every row
+     * is updated separately.
+     */
     @Test
-    void columnFormEqualsThePlainSquareForm() {
+    void columnFormEqualsTheFullMatrixForm() {
         int n = 7;
         RandomNeuralNetwork network = new RandomNeuralNetwork();
-        List<Neuron> s = enter(network, n);
+        List<Neuron> s = addNeurons(network, n);
         double[][] up = new double[n][n];
         double[][] down = new double[n][n];
         SplittableRandom random = new SplittableRandom(7);
@@ -126,14 +129,14 @@
             int i = random.nextInt(n);
             double latency = 5 + 50 * random.nextDouble() * (1 + i);
             network.learn(s.get(i), latency, true);
-            double payoff = 0.1 * Math.min(3, network.meanLatency / latency);
-            boolean won = payoff > network.threshold;
+            double reward = 0.1 * Math.min(3, network.meanLatency / latency);
+            boolean rewarded = reward > network.threshold;
             for (int j = 0; j < n; j++) {
                 for (int k = 0; k < n; k++) {
                     up[j][k] *= 0.99;
                     down[j][k] *= 0.99;
                     if (j != i && k != j) {
-                        (won == (k == i) ? up : down)[j][k] += k == i ? payoff : payoff / (n - 2);
+                        (rewarded == (k == i) ? up : down)[j][k] += k == i ? reward : reward / (n - 2);
                     }
                 }
             }
@@ -148,29 +151,29 @@
                 }
             }
         }
-        double[] q = settled(up, down, w0);
+        double[] q = solve(up, down, w0);
         for (int i = 0; i < n; i++) {
             assertEquals(q[i], s.get(i).q, 2e-3 * q[i]);
         }
     }
 
-    private static double[] settled(double[][] up, double[][] down, double w0) {
+    private static double[] solve(double[][] up, double[][] down, double w0) {
         int n = up.length;
         double[] q = new double[n];
         java.util.Arrays.fill(q, 0.5);
         for (int round = 0; round < 5000; round++) {
             for (int i = 0; i < n; i++) {
-                double excites = 0.25;
-                double inhibits = 0;
+                double excitation = 0.25;
+                double inhibition = 0;
                 double rate = 0;
                 for (int j = 0; j < n; j++) {
                     if (j != i) {
-                        excites += q[j] * (w0 + up[j][i]);
-                        inhibits += q[j] * (w0 + down[j][i]);
+                        excitation += q[j] * (w0 + up[j][i]);
+                        inhibition += q[j] * (w0 + down[j][i]);
                         rate += 2 * w0 + up[i][j] + down[i][j];
                     }
                 }
-                q[i] = Math.min(1, excites / (rate + inhibits));
+                q[i] = Math.min(1, excitation / (rate + inhibition));
             }
         }
         return q;
--- a/src/test/java/rowanplank/subset/ColdStartTest.java
+++ b/src/test/java/rowanplank/subset/ColdStartTest.java
@@ -6,11 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests of {@link ColdStart}. */
 class ColdStartTest {
     private static final ColdStart COLD = new ColdStart(0.2, 1000, 2.5);
 
     @Test
-    void aServerHasTheSettingsShareAtItsStartAndAllOfItAfterTheirTime() {
+    void capacityGrowsFromTheInitialFractionToOneDuringWarmup() {
         assertEquals(0.2, COLD.capacityFraction(5000, 5000));
         assertEquals(0.6, COLD.capacityFraction(5500, 5000), 1e-9);
         assertEquals(1, COLD.capacityFraction(6000, 5000));
@@ -19,15 +20,18 @@
         assertFalse(COLD.isWarm(5999, 5000));
     }
 
-    /** A start that lies ahead, by the clock of whoever listed it, is a start now. */
+    /** A start time in the future, by the clock of whoever listed the server, counts as a start now. */
     @Test
-    void aStartAheadIsAStartNow() {
+    void aStartInTheFutureCountsAsAStartNow() {
         assertEquals(0.2, COLD.capacityFraction(5000, 5300));
     }
 
-    /** A limit holds half of what would make a warm server fall: where it falls under less, so much less of it. */
+    /**
+     * A limit is half of what overloads a warm server. Where a server is overloaded by less, its limit while cold is
+     * lower in proportion.
+     */
     @Test
-    void theLimitFollowsTheWarmthAndWhatMakesItFall() {
+    void theLimitFollowsTheCapacityAndTheOverloadMultiple() {
         assertEquals(0.5, COLD.limitFraction(0.5));
         assertEquals(0.25, new ColdStart(0.2, 1000, 1).limitFraction(0.5));
         assertEquals(1, new ColdStart(0.2, 1000, 1).limitFraction(1));
--- a/src/test/java/rowanplank/subset/SubsetTest.java
+++ b/src/test/java/rowanplank/subset/SubsetTest.java
@@ -11,6 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
+/** Tests of {@link Subset}. */
 class SubsetTest {
     private static final int ZONES = 3;
 
@@ -28,13 +29,16 @@
         return new SplittableRandom(server).nextLong();
     }
 
-    /** Guards against parts of less than a place: with as many nodes as a server has places, each uses them all. */
+    /**
+     * With no more nodes than slots at a server, each node must use all servers, since shares are then whole slots.
+     */
     @Property(seed = "91")
-    void fewNodesUseEveryServer(@ForAll @IntRange(min = 1, max = 3) int nodes, @ForAll @IntRange(max = 500) int server) {
+    void fewNodesUseEveryServer(@ForAll @IntRange(min = 1, max = 3) int nodes,
+            @ForAll @IntRange(max = 500) int server) {
         assertTrue(subset(nodes, nodes - 1, 60, 0, 1, 2).uses(id(server), server % ZONES));
     }
 
-    /** Guards servers against many nodes at once, and against none; and nodes against too few servers. */
+    /** No server may get too many nodes at once or none, and no node too few servers. */
     @Property(seed = "92", tries = 60)
     void eachServerHasItsNodesAndEachNodeItsServers(@ForAll @IntRange(min = 4, max = 40) int nodes,
             @ForAll @IntRange(min = 30, max = 120) int servers) {
@@ -56,7 +60,7 @@
         }
     }
 
-    /** Guards the price of crossing: most of a node's servers are in its own zone, if there are any there. */
+    /** Most of a node's servers must be in its own zone if there are any there, since crossing zones has a cost. */
     @Example
     void mostOfANodesServersAreInItsOwnZone() {
         int own = 0;
@@ -73,7 +77,7 @@
     }
 
     @Example
-    void aNodeWhoseZoneHasNoServersUsesItsEvenPartOfTheOthers() {
+    void aNodeWhoseZoneHasNoServersUsesItsEvenShareOfTheOthers() {
         Subset subset = subset(14, 0, 400, 1, 2);
         int used = 0;
         for (int server = 0; server < 400; server++) {
@@ -82,7 +86,10 @@
         assertEquals(400 * 3.0 / 14, used, 20);
     }
 
-    /** Guards what was learned: a server stays with its nodes while others come and go. */
+    /**
+     * A server must stay with its nodes while other servers come and go, so that what was learned about it is not
+     * lost.
+     */
     @Example
     void aServersNodesDoNotDependOnWhatElseIsListed() {
         Subset before = subset(14, 5, 60, 0, 1, 2);
