--- a/src/main/java/routerfleet/data/AdmittedRequest.java
+++ b/src/main/java/routerfleet/data/AdmittedRequest.java
@@ -8,22 +8,23 @@
 import routerfleet.config.TenantConfig;
 
 /**
- * What the configuration says of one request: its route, service and tenant, and how long it may take.
+ * A request that has passed routing and authentication, with its route, tenant, backend and deadline.
  *
- * @param key of the client; null where the route needs none
- * @param tenant that holds the key; null where the route needs none
- * @param backend the service that gets it
- * @param deadlineMs until when it has to be answered, on the steady clock
+ * @param id value of the {@code Rowanplank-Attempt-Id} header
+ * @param key the client's API key; null if the route needs none
+ * @param tenant the owner of the key; null if the route needs none
+ * @param backend name of the service that the request is sent to
+ * @param deadlineMs by when the response is due, on the monotonic clock in milliseconds
  */
 record AdmittedRequest(String id, RouteConfig route, String key, TenantConfig tenant, String backend,
         PromptPrefix prefix, long deadlineMs) {
     private static final long DEFAULT_TARGET_LATENCY_MS = 500;
 
     /**
-     * Reads a request against the configuration that is in force here.
+     * Routes and authenticates a request by this node's current configuration.
      *
-     * @param receivedMs when its first byte was read, on the steady clock
-     * @return why it is not taken, or what is known of it
+     * @param receivedMs when its first byte was read, on the monotonic clock in milliseconds
+     * @return the error response to send, or the admitted request
      */
     static Either<ErrorResponse, AdmittedRequest> admit(DataPlane plane, HttpRequest request, long receivedMs) {
         RoutingTable table = plane.table();
@@ -39,13 +40,13 @@
         if (id == null || id.isBlank()) {
             return Either.left(ErrorResponse.withoutRetry(400, "Rowanplank-Attempt-Id is missing"));
         }
-        boolean keyed = table.hasTenants() && !found.config().isPublic();
-        if (keyed && !plane.keysAreFresh()) {
+        boolean needsKey = table.hasTenants() && !found.config().isPublic();
+        if (needsKey && !plane.keysAreFresh()) {
             return Either.left(ErrorResponse.notReady());
         }
-        String key = keyed ? headers.get(ProxyHeaders.API_KEY) : null;
+        String key = needsKey ? headers.get(ProxyHeaders.API_KEY) : null;
         TenantConfig tenant = key == null ? null : table.tenantForKey(key);
-        if (keyed && tenant == null) {
+        if (needsKey && tenant == null) {
             return Either.left(ErrorResponse.withoutRetry(401, "no such key"));
         }
         return Either.right(new AdmittedRequest(id, found.config(), key, tenant, found.backend(plane.nextRandom()),
@@ -58,22 +59,22 @@
         try {
             requestedMs = header == null ? timeoutMs : (long) Double.parseDouble(header.strip());
         } catch (NumberFormatException e) {
-            // as if the client had said nothing
+            // an invalid header is ignored
         }
         return Math.max(1, Math.min(requestedMs, timeoutMs));
     }
 
-    /** The time within which an answer earns its full worth, in milliseconds. */
+    /** The route's target latency for the first response, or the default, in milliseconds. */
     long targetLatencyMs() {
         return route.targetLatencyMs() > 0 ? route.targetLatencyMs() : DEFAULT_TARGET_LATENCY_MS;
     }
 
-    /** What the choice of a server is made by. */
+    /** The properties of the request that the choice of a server depends on. */
     PromptProfile promptProfile() {
         return new PromptProfile(route.name(), prefix, targetLatencyMs());
     }
 
-    /** Whether the key still holds: the process may have stood still since it was checked. */
+    /** Whether the API key is still valid: the process may have been suspended since the key was checked. */
     boolean isKeyStillValid(DataPlane plane) {
         return tenant == null || plane.keysAreFresh() && plane.table().tenantForKey(key) != null;
     }
--- a/src/main/java/routerfleet/data/ClientConnection.java
+++ b/src/main/java/routerfleet/data/ClientConnection.java
@@ -32,16 +32,17 @@
 import routerfleet.wire.SteadyClock;
 
 /**
- * A client's connection: reads requests whole, one at a time, and writes their answers. What comes while a request is
- * open waits, and reading stops until it is its turn.
+ * A client connection. It reads complete requests, handles them one at a time and writes their responses. Messages of
+ * pipelined requests are queued while a request is in progress; beyond {@value #MAX_PENDING_BYTES} bytes, reading stops
+ * until the queue is processed.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientResponseWriter {
-    /** How long after an answer that ends the connection unread bytes may still come before it is closed. */
+    /** How long input is read after the last response: closing earlier might reset the connection before it is received. */
     private static final long LINGER_TIMEOUT_MS = 200;
 
-    /** What clients may send before its turn, in bytes. */
+    /** Limit of queued bytes from pipelined requests. */
     private static final int MAX_PENDING_BYTES = 64 << 10;
-    /** What a message takes beside its content, about. */
+    /** Approximate memory of a queued message in addition to its content, in bytes. */
     private static final int PENDING_MESSAGE_OVERHEAD_BYTES = 512;
 
     private final DataPlane plane;
@@ -59,7 +60,7 @@
     private long lastActiveMs = SteadyClock.millis();
     private boolean readingRequest;
 
-    /** @param openConnections the open connections of the node, which this one enters and leaves */
+    /** @param openConnections the node's open connections; this one adds and removes itself */
     ClientConnection(DataPlane plane, Set<ClientConnection> openConnections) {
         this.plane = plane;
         this.openConnections = openConnections;
@@ -75,7 +76,7 @@
         openConnections.add(this);
     }
 
-    /** Bytes have come; called before they are parsed. */
+    /** Called when bytes have arrived, before they are parsed. */
     void bytesRead() {
         lastActiveMs = SteadyClock.millis();
         if (!readingRequest && exchange == null) {
@@ -96,12 +97,13 @@
     }
 
     /**
-     * Keeps what has come before its turn. Reading goes on up to a bound, since a connection that is not read does not show
-     * that its client has gone.
+     * Queues a message of a pipelined request. Reading continues up to a limit, since a disconnect is detected only while
+     * the connection is read.
      */
     private void enqueue(Object message) {
         pendingMessages.add(message);
-        pendingBytes += PENDING_MESSAGE_OVERHEAD_BYTES + (message instanceof HttpContent content ? content.content().readableBytes() : 0);
+        pendingBytes += PENDING_MESSAGE_OVERHEAD_BYTES
+                + (message instanceof HttpContent content ? content.content().readableBytes() : 0);
         if (pendingBytes > MAX_PENDING_BYTES) {
             context.channel().config().setAutoRead(false);
         }
@@ -172,7 +174,7 @@
         }
     }
 
-    /** Answers what can't be understood, and ends the connection. */
+    /** Responds with an error and closes the connection. */
     private void reject(int status, String message) {
         request = null;
         keepAlive = false;
@@ -180,7 +182,7 @@
         respond(status, ProxyHeaders.withoutValidation(), (message + "\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    // ---- the answer
+    // ---- response
 
     @Override
     public void respond(int status, HttpHeaders headers, byte[] bytes) {
@@ -213,7 +215,7 @@
         closing |= close;
     }
 
-    /** Ends the output, and the connection once the client has had time to read it. */
+    /** Shuts down the output, and closes the connection once the client has had time to read the response. */
     private void closeAfterLinger() {
         Channel channel = context.channel();
         if (channel instanceof io.netty.channel.socket.DuplexChannel duplex && !duplex.isOutputShutdown()) {
@@ -252,6 +254,7 @@
         return context.channel().isWritable();
     }
 
+    /** Handles queued messages until the next request is complete, and resumes reading if none is. */
     private void responseFinished() {
         exchange = null;
         lastActiveMs = SteadyClock.millis();
@@ -270,9 +273,9 @@
         }
     }
 
-    // ---- the connection
+    // ---- connection
 
-    /** Closes the connection where the client takes too long. */
+    /** Times out a request that is received too slowly, and closes a connection that has been idle for too long. */
     void checkTimeouts(long nowMs) {
         if (exchange != null || closing) {
             return;
@@ -286,7 +289,7 @@
         }
     }
 
-    /** Closes the connection if nothing has been read on it that waits for an answer. */
+    /** Closes the connection unless a request is being read or handled. */
     void closeIfIdle() {
         if (exchange == null && !readingRequest && !closing) {
             closing = true;
--- a/src/main/java/routerfleet/data/ClientResponseWriter.java
+++ b/src/main/java/routerfleet/data/ClientResponseWriter.java
@@ -3,23 +3,23 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** The way back to the client of one request. Exactly one answer is given, whole or broken off. */
+/** Writes the response of one request to its client. Each request gets exactly one response, complete or aborted. */
 interface ClientResponseWriter {
-    /** A whole answer. */
+    /** Writes a complete response. */
     void respond(int status, HttpHeaders headers, byte[] body);
 
-    /** The head of an answer whose body follows in pieces. */
+    /** Writes the head of a response whose body follows in chunks. */
     void startStream(HttpResponse head);
 
-    /** A piece of the body. */
+    /** Writes a chunk of the body. */
     void writeChunk(byte[] bytes);
 
-    /** The body is whole. */
+    /** Ends the body. */
     void endStream();
 
-    /** Breaks the answer off, so that it can't look whole. */
+    /** Closes the connection without ending the body, so that the client can't take the response for a complete one. */
     void abort();
 
-    /** Whether the client takes more now. */
+    /** Whether more can be written without exceeding the output buffer's limit. */
     boolean isWritable();
 }
--- a/src/main/java/routerfleet/data/ColdAdmission.java
+++ b/src/main/java/routerfleet/data/ColdAdmission.java
@@ -5,17 +5,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Which requests of this node may go to cold servers of one service: in each slice of time one for each server, where the
- * lot says so ({@link WarmupRate}). Nodes draw independently of each other, with no message on a request's path.
- * Permissions do not accumulate: one that is not used in its slice is gone. For one event loop.
+ * Limits the requests that this node sends to the cold servers of one service. In each time slice the node has at most one
+ * permit for each cold server, drawn at random with the probability from {@link WarmupRate}. Nodes draw independently of
+ * each other, so no message is exchanged on a request's path. Permits do not accumulate: one that is not used expires with
+ * its slice. Not thread-safe; used on one event loop.
  */
 final class ColdAdmission {
-    /** The chance where a service tells no bound: all servers count as warm. */
+    /** The permit probability of a service without a warm-up limit: all its servers count as warm. */
     static final double UNLIMITED = Double.POSITIVE_INFINITY;
-    /** Of a send that needs no permission. */
+    /** Stands for the permit's slice where a request needs no permit. */
     static final long NO_PERMIT = -1;
 
-    /** One node's permission for one server, in the slice that was drawn for last. */
+    /** This node's permit for one server, in the slice for which it was drawn last. */
     static final class Permit {
         private long slice = NO_PERMIT;
         private boolean available;
@@ -30,7 +31,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** @param probability the chance of a permission in a slice, from {@link WarmupRate#permitProbability}, or {@link #UNLIMITED} */
+    /** @param probability of a permit in a slice, from {@link WarmupRate#permitProbability}, or {@link #UNLIMITED} */
     void permitProbability(double probability) {
         permitProbability = probability;
     }
@@ -43,11 +44,12 @@
         return permitProbability != UNLIMITED && server.warmupState().isCold(nowMs);
     }
 
-    /** Whether the server is warm, or there is a permission for it now. */
+    /** Whether a request may go to the server now: it is warm, or there is a permit for it in this slice. */
     boolean permits(Server server, long nowMs) {
         return !needsPermit(server, nowMs) || permitFor(server.coldPermit(), nowMs).available;
     }
 
+    /** Draws the permit anew if it belongs to an earlier slice. */
     private Permit permitFor(Permit permit, long nowMs) {
         long now = slice(nowMs);
         if (permit.slice != now) {
@@ -58,8 +60,8 @@
     }
 
     /**
-     * The cold servers for which this slice began with a permission; whether it is still there {@link #permits} tells.
-     * Costs O(n) for n servers once a slice.
+     * The cold servers for which a permit was drawn in this slice. {@link #permits} says whether it is still available.
+     * Takes O(n) time for n servers once per slice.
      */
     List<Server> serversWithPermit(List<Server> servers, long nowMs) {
         if (permittedServersSlice != slice(nowMs)) {
@@ -74,7 +76,7 @@
         return permittedServers;
     }
 
-    /** Takes the permission for a request that was given that server. @return what {@link #maySend} is asked with */
+    /** Takes the permit for a request that was assigned to the server. @return its slice, for {@link #maySend} */
     long acquirePermit(Server server, long nowMs) {
         if (!needsPermit(server, nowMs)) {
             return NO_PERMIT;
@@ -84,8 +86,10 @@
     }
 
     /**
-     * Whether a request may be sent now: the server is warm, or the permission that was claimed is of this slice, or the
-     * server has turned cold since and there is one now, which this takes.
+     * Whether a request may be sent now, possibly some time after {@link #acquirePermit}. This is the case if the server is
+     * warm or if the acquired permit belongs to the current slice. Otherwise, if a permit is available now, it is taken.
+     *
+     * @param permitSlice result of {@link #acquirePermit}
      */
     boolean maySend(Server server, long permitSlice, long nowMs) {
         if (!needsPermit(server, nowMs) || permitSlice == slice(nowMs)) {
--- a/src/main/java/routerfleet/data/ControlClient.java
+++ b/src/main/java/routerfleet/data/ControlClient.java
@@ -20,53 +20,68 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * This node's sessions with the control nodes: a connection to each, regular questions on them, and what comes back:
- * servers, configurations, grants of tenants' limits, and up to when the configuration is known to be the newest.
+ * The data node's client of the control plane. It keeps a connection to each control node, polls them at regular intervals
+ * and passes on what they send: servers, configurations, evacuated zones, and answers to quota requests. It also tracks the
+ * point in time up to which the local configuration is known to be the newest.
  *
- * <p>One connection is the primary one, which brings configurations whole; the others tell their numbers, and are asked
- * where the primary one does not deliver.
+ * <p>Configurations are pushed on one connection, the primary; on the others, control nodes only announce generation
+ * numbers, and a configuration is requested there if the primary does not deliver it. Not thread-safe; used on the
+ * scheduler's thread.
  */
 final class ControlClient {
     private static final System.Logger LOG = Loggers.get("routerfleet.data");
-    /** Questions are asked on the primary connection at each tick, on the others each so many ticks. */
+    /** Interval between polls on the primary connection. */
     private static final long POLL_INTERVAL_MS = 400;
+    /** The other connections are polled every so many intervals. */
     private static final int SECONDARY_POLL_TICKS = 4;
-    /** Past this the node asks on all connections and more often: it may not serve much longer, or not yet. */
+    /** Staleness above which all connections are polled, at a shorter interval: the node may soon have to stop serving. */
     private static final long STALE_MS = 1_500;
     private static final long STALE_POLL_INTERVAL_MS = 100;
+    /** How long to wait for the primary connection to deliver a new configuration before it is requested. */
     private static final long FETCH_DELAY_MS = 150;
+    /** After this time without a connection, a control node that is not a seed is no longer dialled. */
     private static final long FORGET_TIMEOUT_MS = 30_000;
     private static final int MAX_OPEN_POLLS = 64;
-    /** The first questions are answered only once the newest configuration is known: none is put twice within this time. */
+    /**
+     * Minimum interval between polls of a control node before the first configuration: control nodes delay the answers to
+     * these polls until they know the newest configuration.
+     */
     private static final long FIRST_POLL_INTERVAL_MS = 400;
     /**
-     * Before this node counts as being in touch with the core, what was known earlier is dropped. A node counts from the
-     * start of its process, which this leaves time for.
+     * How long before the end of the connection period ({@code connectedMs}) the sessions from before the control nodes'
+     * restart are dropped. The period is counted from the start of the process; the margin allows for the start itself.
      */
     private static final long EARLIER_SESSIONS_MARGIN_MS = 1_000;
 
-    /** Who hears what control nodes say. */
+    /** Receives what control nodes send. */
     interface Listener {
-        /** A configuration newer than any before. */
+        /** Called with each configuration that is newer than all before. */
         void configuration(FleetConfiguration configuration);
 
-        /** How many data nodes there are. @param warming whether the control node that says so has only just started */
+        /**
+         * Called with the number of data nodes that a control node reports.
+         *
+         * @param present how many data nodes the control node has heard from recently
+         * @param warming whether the control node has started so recently that it may not know all of them
+         */
         void dataNodes(int present, boolean warming);
 
-        /** An answer to a question about a tenant's limit. */
+        /** Called with the answer to a quota request. */
         void quotaAnswered(PeerMessage.QuotaAnswer answer);
 
-        /** There is no connection to that control node any more. */
+        /** Called when the connection to a control node is lost. */
         void disconnected(String controlNode);
     }
 
+    /** At the time {@code nanos}, {@code generation} was the newest configuration. */
     private record FreshnessPoint(long nanos, long generation) { }
 
+    /** The connection to one control node, with its open polls. */
     private final class Link implements PeerLink.Listener {
         private final String ip;
-        /** When each open question was asked, on the steady clock in nanoseconds, by its number. */
+        /** When each open poll was sent, by poll id, on the monotonic clock in nanoseconds. */
         private final Map<Long, Long> openPolls = new TreeMap<>();
-        private PeerLink link;
+        private PeerLink peerLink;
         private int ticks;
         private long lastPollNanos;
         private long lastHeardNanos = scheduler.nanoTime();
@@ -77,7 +92,7 @@
 
         @Override
         public void opened(PeerLink opened) {
-            link = opened;
+            peerLink = opened;
             lastHeardNanos = scheduler.nanoTime();
             openPolls.clear();
             opened.send(new PeerMessage.DataHello(settings.nodeName(), settings.ip(), settings.zone(),
@@ -94,8 +109,8 @@
 
         @Override
         public void closed(PeerLink closed) {
-            if (link == closed) {
-                link = null;
+            if (peerLink == closed) {
+                peerLink = null;
                 registry.disconnected(ip);
                 choosePrimary();
                 listener.disconnected(ip);
@@ -111,7 +126,7 @@
     private final PeerDialer dialer;
     private final Map<String, Link> links = new TreeMap<>();
     private List<HostPort> seeds;
-    /** Control nodes that hold replicas of the configuration shard, as last told. */
+    /** Control nodes that hold replicas of the configuration shard, as last reported. */
     private List<String> replicas = List.of();
     private Link primary;
     private long lastPollId;
@@ -119,9 +134,11 @@
     private long generation;
     private Evacuations evacuations = Evacuations.NONE;
     private final long startedNanos;
+    /** When the local configuration was last known to be the newest, if {@code everFresh}. */
     private long freshNanos;
     private boolean everFresh;
-    private FreshnessPoint waitingForGeneration;
+    /** The latest point for a generation that has not been received yet; null for none. */
+    private FreshnessPoint pendingFreshness;
     private final int rankingSeed;
 
     ControlClient(Scheduler scheduler, PeerNetwork network, LocalSettings settings, ServerRegistry registry,
@@ -137,6 +154,7 @@
         dialer = new PeerDialer(scheduler, network, LinkTiming.DATA, address -> links.get(address.host()));
     }
 
+    /** Starts to dial the seeds and to poll. */
     void start() {
         seeds.forEach(seed -> addControlNode(seed.host()));
         hurryPreferredSeed();
@@ -145,44 +163,50 @@
         tick();
     }
 
-    /** One seed is called more often at the start: all of them by all data nodes would keep the core from starting. */
+    /**
+     * Redials one seed at short intervals during startup. If all data nodes did so to all seeds, the load would keep the
+     * control nodes from starting.
+     */
     private void hurryPreferredSeed() {
         links.values().stream().max(Comparator.comparingInt(this::rank))
                 .ifPresent(link -> dialer.hurry(new HostPort(link.ip, settings.dataPort())));
     }
 
-    /** Takes other seeds. */
+    /** Replaces the seed addresses. */
     void seeds(List<HostPort> changed) {
         seeds = changed;
         seeds.forEach(seed -> addControlNode(seed.host()));
     }
 
-    /** For how long the configuration has not been known to be the newest, in milliseconds. */
+    /**
+     * Time since the configuration was last known to be the newest, in milliseconds; {@link Long#MAX_VALUE} before the
+     * first time.
+     */
     long staleMs() {
         return everFresh ? TimeUnit.NANOSECONDS.toMillis(scheduler.nanoTime() - freshNanos) : Long.MAX_VALUE;
     }
 
     /**
-     * Whether configuration and evacuations here hold all that was acknowledged before this process began. Before that is
-     * known they may be any earlier ones: a replica that has just started tells what it held when it stopped, one that is
-     * cut off what it held then.
+     * Whether the local configuration and evacuations include all changes that were acknowledged before this process
+     * started. Until this is known they may be arbitrarily old: a replica that has just restarted sends what it had when it
+     * stopped, and one that is cut off by a network partition sends what it had when the partition began.
      */
     boolean hasBeenFresh() {
         return everFresh && freshNanos - startedNanos >= 0;
     }
 
-    /** Control nodes that hold replicas of the configuration shard; empty before one has been heard. */
+    /** Addresses of the control nodes that hold replicas of the configuration shard; empty before the first poll answer. */
     List<String> replicas() {
         return replicas;
     }
 
-    /** @return whether there is a connection to that control node to send on */
+    /** Sends a message to a control node. @return false if there is no connection to it */
     boolean send(String ip, PeerMessage message) {
         Link link = links.get(ip);
-        if (link == null || link.link == null) {
+        if (link == null || link.peerLink == null) {
             return false;
         }
-        link.link.send(message);
+        link.peerLink.send(message);
         return true;
     }
 
@@ -198,7 +222,8 @@
         boolean stale = staleMs() > STALE_MS || !hasBeenFresh();
         for (Link link : List.copyOf(links.values())) {
             boolean seed = seeds.stream().anyMatch(s -> s.host().equals(link.ip));
-            if (!seed && link.link == null && now - link.lastHeardNanos > TimeUnit.MILLISECONDS.toNanos(FORGET_TIMEOUT_MS)) {
+            if (!seed && link.peerLink == null
+                    && now - link.lastHeardNanos > TimeUnit.MILLISECONDS.toNanos(FORGET_TIMEOUT_MS)) {
                 links.remove(link.ip);
                 dialer.forget(new HostPort(link.ip, settings.dataPort()));
             } else if (++link.ticks % (stale || link == primary ? 1 : SECONDARY_POLL_TICKS) == 0) {
@@ -209,28 +234,29 @@
     }
 
     private void choosePrimary() {
-        if (primary != null && primary.link != null) {
+        if (primary != null && primary.peerLink != null) {
             return;
         }
         primary = null;
         int best = 0;
         for (Link link : links.values()) {
-            if (link.link != null && (primary == null || rank(link) > best)) {
+            if (link.peerLink != null && (primary == null || rank(link) > best)) {
                 primary = link;
                 best = rank(link);
             }
         }
     }
 
-    /** In another order at each data node, so that they spread over the control nodes. */
+    /** Ranks control nodes in a different order on each data node, so that data nodes spread over the control nodes. */
     private int rank(Link link) {
         return (link.ip.hashCode() * 31 ^ rankingSeed) * 0x9E3779B1;
     }
 
     private void poll(Link link) {
         long now = scheduler.nanoTime();
-        boolean recentlyPolled = !link.openPolls.isEmpty() && now - link.lastPollNanos < TimeUnit.MILLISECONDS.toNanos(FIRST_POLL_INTERVAL_MS);
-        if (link.link == null || generation == 0 && recentlyPolled) {
+        boolean recentlyPolled = !link.openPolls.isEmpty()
+                && now - link.lastPollNanos < TimeUnit.MILLISECONDS.toNanos(FIRST_POLL_INTERVAL_MS);
+        if (link.peerLink == null || generation == 0 && recentlyPolled) {
             return;
         }
         if (link.openPolls.size() >= MAX_OPEN_POLLS) {
@@ -239,7 +265,7 @@
         long id = ++lastPollId;
         link.openPolls.put(id, now);
         link.lastPollNanos = now;
-        link.link.send(new PeerMessage.Poll(id, generation, link == primary));
+        link.peerLink.send(new PeerMessage.Poll(id, generation, link == primary));
     }
 
     private void received(Link link, PeerMessage message) {
@@ -266,7 +292,7 @@
         try {
             registry.addEarlierSessions(codec.decode(earlier.sessions(), PeerMessage.Sessions.class).sessions());
         } catch (PeerCodec.MalformedMessageException e) {
-            LOG.log(System.Logger.Level.ERROR, "earlier servers can't be read: " + e.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "can't decode earlier sessions: " + e.getMessage());
         }
     }
 
@@ -276,22 +302,23 @@
         fetchIfMissing(link, reply.generation());
         replicas = reply.replicas();
         listener.dataNodes(reply.dataNodes(), reply.warming());
-        apply(reply.evacuations()); // before the point in time up to which all is known here
+        apply(reply.evacuations()); // before the freshness is updated, which covers evacuations as well
         Long polledNanos = link.openPolls.remove(reply.id());
         if (polledNanos == null) {
             return;
         }
         if (reply.freshAgeMicros() >= 0) {
-            // Counted from before the question, so that the time on the way makes the point older, never newer.
+            // Counted from the sending of the poll, so that network delay makes the point older, never newer.
             updateFreshness(new FreshnessPoint(polledNanos - TimeUnit.MICROSECONDS.toNanos(reply.freshAgeMicros()),
                     reply.generation()));
         }
     }
 
+    /** Records a point in time, at once or when the configuration that it refers to has been received. */
     private void updateFreshness(FreshnessPoint point) {
         if (point.generation() > generation) {
-            if (waitingForGeneration == null || point.nanos() - waitingForGeneration.nanos() > 0) {
-                waitingForGeneration = point;
+            if (pendingFreshness == null || point.nanos() - pendingFreshness.nanos() > 0) {
+                pendingFreshness = point;
             }
         } else if (!everFresh || point.nanos() - freshNanos > 0) {
             freshNanos = point.nanos();
@@ -302,14 +329,14 @@
     private void fetchIfMissing(Link link, long newest) {
         if (newest > generation) {
             scheduler.schedule(() -> {
-                if (newest > generation && link.link != null) {
-                    link.link.send(new PeerMessage.ConfigRequest(generation));
+                if (newest > generation && link.peerLink != null) {
+                    link.peerLink.send(new PeerMessage.ConfigRequest(generation));
                 }
             }, FETCH_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** What was in force before, as a control node that lags behind tells it, is passed over. */
+    /** Applies evacuations unless they are older than the known ones, as a control node that lags behind sends them. */
     private void apply(Evacuations received) {
         if (received.revision() > evacuations.revision()) {
             evacuations = received;
@@ -324,23 +351,23 @@
         try {
             configurationReceived(codec.decode(committed.configuration(), FleetConfiguration.class));
         } catch (PeerCodec.MalformedMessageException e) {
-            LOG.log(System.Logger.Level.ERROR, "a committed configuration can't be read: " + e.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "can't decode a committed configuration: " + e.getMessage());
         }
     }
 
-    /** A change of another generation than the one here is of no use: the whole is asked for. */
+    /** Applies a delta to the local configuration; if its base is another generation, requests the full configuration. */
     private void apply(Link link, PeerMessage.CommittedDelta committed) {
         if (committed.generation() <= generation) {
             return;
         }
         if (committed.base() != generation) {
-            link.link.send(new PeerMessage.ConfigRequest(generation));
+            link.peerLink.send(new PeerMessage.ConfigRequest(generation));
             return;
         }
         try {
             configurationReceived(codec.decode(committed.delta(), ConfigDelta.class).applyTo(configuration));
         } catch (PeerCodec.MalformedMessageException e) {
-            LOG.log(System.Logger.Level.ERROR, "a change of the configuration can't be read: " + e.getMessage());
+            LOG.log(System.Logger.Level.ERROR, "can't decode a configuration delta: " + e.getMessage());
         }
     }
 
@@ -348,9 +375,9 @@
         configuration = newer;
         generation = newer.generation();
         listener.configuration(newer);
-        if (waitingForGeneration != null && waitingForGeneration.generation() <= generation) {
-            FreshnessPoint point = waitingForGeneration;
-            waitingForGeneration = null;
+        if (pendingFreshness != null && pendingFreshness.generation() <= generation) {
+            FreshnessPoint point = pendingFreshness;
+            pendingFreshness = null;
             updateFreshness(point);
         }
     }
--- a/src/main/java/routerfleet/data/DataNode.java
+++ b/src/main/java/routerfleet/data/DataNode.java
@@ -39,8 +39,8 @@
 import routerfleet.wire.SteadyClock;
 
 /**
- * A data node: takes clients' requests and forwards them to model servers. It keeps nothing on disk; configuration,
- * servers and parts of limits come from the control nodes. Everything runs on one event loop.
+ * A data node: accepts client requests and forwards them to model servers. It stores nothing on disk; configuration,
+ * servers and quota grants come from the control nodes. Everything runs on one event loop.
  */
 public final class DataNode {
     private static final System.Logger LOG = Loggers.get("routerfleet.data");
@@ -49,13 +49,13 @@
     private static final int READINESS_BODY_BYTES = 1 << 12;
     private static final long TIMEOUT_CHECK_INTERVAL_MS = 250;
     private static final long MS_PER_SECOND = 1_000;
-    /** How long the ingress may take to notice that a node is not ready: two questions, a second apart, and some. */
+    /** How long the ingress may take to notice that a node is not ready: two probes, one second apart, and a margin. */
     private static final long READINESS_PROPAGATION_MS = 3_200;
-    /** Before the platform kills the process, what has not run is refused. */
+    /** How long before the platform kills the process the requests that have not been sent to a server are refused. */
     private static final long REFUSE_UNSENT_BEFORE_KILL_MS = 900;
     private static final long STOP_CHECK_INTERVAL_MS = 50;
 
-    /** Without a quiet period an event loop may end before it has closed its sockets. */
+    /** Without a quiet period an event loop may terminate before it has closed its sockets. */
     private static final long CRASH_QUIET_PERIOD_MS = 10;
     private static final long CRASH_TIMEOUT_MS = 2_000;
 
@@ -72,10 +72,11 @@
     private final CompletableFuture<Void> ready = new CompletableFuture<>();
     private Channel frontend;
 
-    /** @param settings with addresses for clients and readiness */
+    /** Creates a node that does not listen yet. @param settings with the addresses for clients and readiness probes */
     public DataNode(LocalSettings settings) {
         this.settings = settings;
-        // Choices need no secrecy, and a secure source costs each start some 10 ms; the name keeps nodes apart.
+        // Not a secure source: the choices need no secrecy, and seeding one delays the start by some 10 ms. The node's name
+        // makes the seeds of different nodes differ.
         random = new SplittableRandom(HashMix.of(settings.nodeName()) ^ System.nanoTime());
         registry = new ServerRegistry(random.nextLong(), System::nanoTime, settings.zone(),
                 settings.heartbeatMs());
@@ -87,7 +88,11 @@
         plane.control(control);
     }
 
-    /** Listens; readiness says no until a configuration is here. @throws BindException if an address is taken */
+    /**
+     * Starts to listen for clients and readiness probes. Probes fail until a current configuration has been received.
+     *
+     * @throws BindException if an address is in use
+     */
     public void start() throws BindException {
         listenForReadiness();
         frontend = Listeners.listen(group, settings.frontend(), new ChannelInitializer<Channel>() {
@@ -99,7 +104,8 @@
             }
         });
         loop.execute(control::start);
-        loop.scheduleWithFixedDelay(this::checkTimeouts, TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::checkTimeouts, TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(registry::removeStale, MS_PER_SECOND, MS_PER_SECOND, TimeUnit.MILLISECONDS);
         LOG.log(System.Logger.Level.INFO, "data node " + settings.nodeName() + " listens at " + settings.frontend());
     }
@@ -123,14 +129,15 @@
         List.copyOf(clients).forEach(client -> client.checkTimeouts(now));
     }
 
-    /** Takes new settings: only the seeds may change while the process runs. */
+    /** Applies changed settings: only the seeds can change while the process runs. */
     public void reload(LocalSettings changed) {
         loop.execute(() -> control.seeds(changed.seeds()));
     }
 
     /**
-     * Leaves in order: not ready at once; clients are served until the ingress has noticed, each connection then ends with
-     * its answer. Blocks until nothing is open, at most for the platform's grace.
+     * Shuts down gracefully. Readiness probes fail at once; clients are served until the ingress has had time to notice,
+     * then each connection is closed after its current response. Blocks until all client connections are closed, at most
+     * for the platform's grace period.
      */
     public void stop() {
         if (loop.isShuttingDown()) {
@@ -141,8 +148,8 @@
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             plane.startDraining();
-            loop.scheduleWithFixedDelay(() -> continueDrain(startMs, graceMs, done), STOP_CHECK_INTERVAL_MS, STOP_CHECK_INTERVAL_MS,
-                    TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(() -> continueDrain(startMs, graceMs, done), STOP_CHECK_INTERVAL_MS,
+                    STOP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         });
         try {
             done.await(graceMs, TimeUnit.MILLISECONDS);
@@ -151,16 +158,17 @@
         }
     }
 
-    /** Ends at once. */
+    /** Stops at once, without draining, as in a crash of the process. */
     public void crash() {
         group.shutdownGracefully(CRASH_QUIET_PERIOD_MS, CRASH_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** Complete once the node has been ready for the first time. */
+    /** Completes when the node has become ready for the first time. */
     public CompletableFuture<Void> ready() {
         return ready;
     }
 
+    /** Called regularly while the node stops: closes idle connections, and refuses unsent requests near the end. */
     private void continueDrain(long startMs, long graceMs, CountDownLatch done) {
         long elapsedMs = SteadyClock.millis() - startMs;
         if (elapsedMs < Math.min(READINESS_PROPAGATION_MS, graceMs / 2)) {
@@ -176,7 +184,7 @@
         }
     }
 
-    /** Tells a connection that bytes have come, before they are parsed. */
+    /** Notifies a connection of received bytes before they are parsed. */
     private static final class ReadNotifier extends ChannelInboundHandlerAdapter {
         private final ClientConnection connection;
 
@@ -193,7 +201,7 @@
         }
     }
 
-    /** Answers whether the node wants clients. */
+    /** Answers readiness probes: 200 while the node accepts client requests, else 503. */
     private final class ReadinessHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -216,6 +224,7 @@
         }
     }
 
+    /** Passes on what control nodes send to the other components of the node. */
     private final class ControlListener implements ControlClient.Listener {
         @Override
         public void configuration(FleetConfiguration configuration) {
@@ -238,6 +247,7 @@
         }
     }
 
+    /** Sends quota requests on the connections to the control nodes. */
     private final class QuotaTransport implements QuotaClient.Transport {
         @Override
         public List<String> controlNodes() {
--- a/src/main/java/routerfleet/data/DataPlane.java
+++ b/src/main/java/routerfleet/data/DataPlane.java
@@ -10,12 +10,15 @@
 import routerfleet.config.BackendConfig;
 import routerfleet.settings.Bounds;
 
-/** What all requests of a node share. For one event loop. */
+/** State that is shared by all requests of a data node. Not thread-safe; used on one event loop. */
 final class DataPlane {
-    /** What a request may still need to be read and checked, off the time until removed keys are refused. */
+    /** Subtracted from the time within which removed keys must be refused: a request still has to be read and checked. */
     private static final long REVOKE_MARGIN_MS = 400;
+    /** Minimum of requests that a node may have in flight at a server, unless the connection limit is lower. */
     private static final int MIN_IN_FLIGHT = 4;
+    /** A node may use so many times its equal share of a server's capacity. */
     private static final double CAPACITY_SHARE_FACTOR = 2;
+    /** Fraction of a server's connection limit that all nodes together use. */
     private static final double CONNECTION_LIMIT_FRACTION = 0.9;
 
     private final EventLoop loop;
@@ -25,7 +28,7 @@
     private final FleetSize fleetSize;
     private final SplittableRandom random;
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
-    /** How fast all nodes together may send to a cold server of a service that tells a bound, in requests a second. */
+    /** For services with a warm-up limit: requests per second that all nodes together may send to one cold server. */
     private final Map<String, Double> coldRates = new HashMap<>();
     private final Set<Exchange> openExchanges = new LinkedHashSet<>();
     private RoutingTable table = RoutingTable.EMPTY;
@@ -42,6 +45,7 @@
         random = new SplittableRandom(seed);
     }
 
+    /** Sets the control client; to be called once, before the node starts. */
     void control(ControlClient client) {
         control = client;
     }
@@ -62,6 +66,7 @@
         return table;
     }
 
+    /** Replaces the routing table by one of a newer configuration. */
     void table(RoutingTable newer) {
         table = newer;
         quotas.configure(newer.tenants());
@@ -80,39 +85,41 @@
         return fleetSize;
     }
 
+    /** A random number, uniform in [0, 1). */
     double nextRandom() {
         return random.nextDouble();
     }
 
+    /** This node's budget of retries to a service. */
     RetryBudget retryBudget(String backend) {
         return retryBudgets.computeIfAbsent(backend, b -> new RetryBudget(bounds));
     }
 
-    /** The chance of a permission for a cold server of that service in one slice of time ({@link ColdAdmission}). */
+    /** The probability of a permit for a cold server of the service in one time slice; see {@link ColdAdmission}. */
     double coldPermitProbability(String backend) {
         Double rate = coldRates.get(backend);
         return rate == null ? ColdAdmission.UNLIMITED : WarmupRate.permitProbability(rate, fleetSize.divisor());
     }
 
-    /** Whether keys may be trusted: no configuration that took one away can be in force without being known here. */
+    /** Whether known keys may be accepted: a key that is still known here was not removed longer ago than is allowed. */
     boolean keysAreFresh() {
         return !bounds.revocation() || control.staleMs() < bounds.revokeMs() - REVOKE_MARGIN_MS;
     }
 
     /**
-     * Whether there is a configuration to serve by. The first one of a process counts only once it was known to be the
-     * newest; from then on each is newer than the one before.
+     * Whether there is a configuration to serve with. The first configuration of a process counts only after it was known
+     * to be the newest; each later one is newer than the one before.
      */
     boolean hasConfiguration() {
         return table.generation() > 0 && control.hasBeenFresh();
     }
 
-    /** Whether the node can serve. */
+    /** Whether the node accepts client requests; reported to readiness probes. */
     boolean isReady() {
         return !draining && hasConfiguration() && keysAreFresh();
     }
 
-    /** Takes no new clients from now on. */
+    /** Fails readiness probes from now on, and closes each client connection after its current response. */
     void startDraining() {
         draining = true;
     }
@@ -121,7 +128,7 @@
         return draining;
     }
 
-    /** How many requests this node may have in flight at one server. */
+    /** The number of requests that this node may have in flight at one server of a service. */
     int inFlightLimit(String backend, int capacity) {
         int nodes = fleetSize.latest();
         BackendConfig config = table.backend(backend);
@@ -130,6 +137,7 @@
         return Math.max(1, Math.min(share, (int) (CONNECTION_LIMIT_FRACTION * connections / nodes)));
     }
 
+    /** Registers an exchange until {@link #removeExchange}. */
     void addExchange(Exchange exchange) {
         openExchanges.add(exchange);
     }
@@ -138,7 +146,7 @@
         openExchanges.remove(exchange);
     }
 
-    /** Requests without a final answer. */
+    /** Requests without a final response. */
     List<Exchange> openExchanges() {
         return List.copyOf(openExchanges);
     }
--- a/src/main/java/routerfleet/data/ErrorResponse.java
+++ b/src/main/java/routerfleet/data/ErrorResponse.java
@@ -5,35 +5,35 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An answer of this node's own to a request that no server has answered.
+ * An error response that this node generates itself for a request without a response from a server.
  *
- * @param retryAfterMs when the client may ask again; negative where that is of no use
+ * @param retryAfterMs when the client should retry; negative for a response without a Retry-After header
  */
 record ErrorResponse(int status, String text, long retryAfterMs) {
     private static final long NO_RETRY = -1;
     private static final double RETRY_AFTER_FRACTION = 0.25;
     private static final long MIN_RETRY_AFTER_MS = 50;
     private static final long MAX_RETRY_AFTER_MS = 1_200;
-    /** A node that can't serve yet, or no more, may be able to after so long. */
+    /** The time after which a node that is not ready may have become so. */
     private static final long NOT_READY_RETRY_AFTER_MS = 900;
     private static final int MS_PER_SECOND = 1_000;
 
-    /** The request is at fault, or what became of it is not known. */
+    /** A response without a Retry-After header: the request is invalid, or it may already have been executed. */
     static ErrorResponse withoutRetry(int status, String text) {
         return new ErrorResponse(status, text, NO_RETRY);
     }
 
-    /** This node can't serve yet, or no more. */
+    /** 503: this node can't serve requests yet, or no longer. */
     static ErrorResponse notReady() {
         return new ErrorResponse(503, "not ready", NOT_READY_RETRY_AFTER_MS);
     }
 
-    /** There is no room: the client is asked to come back early enough for its objective. */
+    /** 503: no server has capacity. The client is asked to retry early enough to still meet its target latency. */
     static ErrorResponse noCapacity(long targetLatencyMs) {
         return new ErrorResponse(503, "no room", retryAfterMs(targetLatencyMs));
     }
 
-    /** Beyond the tenant's limit. @param waitMs when it may be within it again */
+    /** 429: the tenant's limit is exceeded. @param waitMs when the request may be within the limit, in milliseconds */
     static ErrorResponse rateLimited(long waitMs, long targetLatencyMs) {
         return new ErrorResponse(429, "over the limit", Math.max(waitMs, retryAfterMs(targetLatencyMs)));
     }
@@ -42,13 +42,16 @@
         return Math.max(MIN_RETRY_AFTER_MS, (long) (RETRY_AFTER_FRACTION * targetLatencyMs));
     }
 
-    /** Seconds with three decimals. The platform's formatter would cost each refusal more than all the rest of it. */
+    /**
+     * Formats milliseconds as seconds with three decimals. {@code String.format} would take longer than all other work for
+     * a refused request.
+     */
     static String seconds(long ms) {
         String thousandths = Long.toString(MS_PER_SECOND + ms % MS_PER_SECOND).substring(1);
         return ms / MS_PER_SECOND + "." + thousandths;
     }
 
-    /** Gives the answer. */
+    /** Writes the response, with a Retry-After of at most {@value #MAX_RETRY_AFTER_MS} ms. */
     void writeTo(ClientResponseWriter writer) {
         HttpHeaders headers = ProxyHeaders.withoutValidation();
         if (retryAfterMs >= 0) {
--- a/src/main/java/routerfleet/data/EventStreamParser.java
+++ b/src/main/java/routerfleet/data/EventStreamParser.java
@@ -5,18 +5,20 @@
 import java.util.Arrays;
 
 /**
- * Cuts a {@code text/event-stream} (WHATWG HTML, section 9.2) into whole events, whatever the pieces in which it comes.
- * Bound: an event of {@value #MAX_EVENT_BYTES} bytes.
+ * Splits a {@code text/event-stream} (WHATWG HTML, section 9.2) into complete events, regardless of how it is divided into
+ * chunks. An event may have at most {@value #MAX_EVENT_BYTES} bytes.
  */
 final class EventStreamParser {
     private static final int MAX_EVENT_BYTES = 1 << 20;
     private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** Who gets events. */
+    /** Receives the parsed events. */
     interface EventConsumer {
         /**
-         * @param bytes the event as it came, with the empty line that ends it
-         * @param id its number; negative where it has none
+         * Called for each complete event.
+         *
+         * @param bytes the event as received, including the empty line that ends it
+         * @param id its number; negative if it has none
          */
         void event(byte[] bytes, long id);
     }
@@ -25,12 +27,12 @@
     private int length;
     private int scanned;
 
-    /** Whether a part of an event is waiting for its end. */
+    /** Whether the beginning of an incomplete event is buffered. */
     boolean hasPartialEvent() {
         return length > 0;
     }
 
-    /** Takes a piece in. @return false where an event is too long */
+    /** Parses a chunk of the stream. @return false if an event is too long */
     boolean feed(ByteBuf chunk, EventConsumer consumer) {
         int added = chunk.readableBytes();
         if (length + added > MAX_EVENT_BYTES) {
--- a/src/main/java/routerfleet/data/Exchange.java
+++ b/src/main/java/routerfleet/data/Exchange.java
@@ -16,23 +16,24 @@
 import routerfleet.wire.SteadyClock;
 
 /**
- * One request's life: route, key, limit, server, answer. It ends with exactly one answer to the client. A request that
- * may have run is answered 429 or 503 only where it may run again; one that has not is told when to come back.
+ * Handles one client request: routing, authentication, quota, choice of a server, retries and the response. Each exchange
+ * ends with exactly one response to the client, complete or aborted. A request that a server may have executed is answered
+ * with 429 or 503 only if it may be executed again; one that was not executed is refused with a Retry-After header.
  */
 final class Exchange {
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private static final int MAX_CONNECT_FAILURES = 4;
-    /** A request with less time left is not sent any more. */
+    /** A request whose deadline is closer is no longer sent to a server. */
     private static final long MIN_REMAINING_MS = 12;
-    /** A failure counts as an answer after so many objectives. */
+    /** A failure counts as a response after so many times the target latency. */
     private static final double FAILURE_LATENCY_FACTOR = 3;
     /**
-     * A server that is silent for so long while it owes answers to two requests is taken for dead, where the request may
-     * run again. Silence to a single request is most often the reading of a long prompt: to send it on would only have
-     * another server read it as well.
+     * If a server with at least two requests in flight has sent nothing for so long, it is considered failed, and an
+     * idempotent request is retried elsewhere. With a single request in flight, silence mostly means that the server is
+     * processing a long prompt; a retry would only make another server process it as well.
      */
     private static final long SILENCE_TIMEOUT_MS = 900;
-    /** What a single request waits in silence: a part of the route's timeout that leaves time for another server. */
+    /** Silence timeout of a single request, as a fraction of the route's timeout: leaves time for another server. */
     private static final double SILENCE_TIMEOUT_FRACTION = 1.0 / 3;
 
     private final DataPlane plane;
@@ -40,6 +41,7 @@
     private final HttpRequest request;
     private final byte[] body;
     private final long receivedMs;
+    /** Servers that the request was assigned to, including those to which it was not sent in the end. */
     private final List<Server> triedServers = new ArrayList<>(2);
     private final StreamRelay relay;
     private AdmittedRequest admitted;
@@ -50,7 +52,7 @@
     private boolean mayHaveExecuted;
     private boolean done;
 
-    /** @param receivedMs when the request's first byte was read, on the steady clock */
+    /** @param receivedMs when the request's first byte was read, on the monotonic clock in milliseconds */
     Exchange(DataPlane plane, ClientResponseWriter responseWriter, HttpRequest request, byte[] body, long receivedMs) {
         this.plane = plane;
         this.responseWriter = responseWriter;
@@ -62,6 +64,7 @@
 
     // ---- admission
 
+    /** Routes, authenticates and sends the request, or responds with an error. */
     void start() {
         plane.addExchange(this);
         Either<ErrorResponse, AdmittedRequest> admission = AdmittedRequest.admit(plane, request, receivedMs);
@@ -84,7 +87,7 @@
         return admitted.deadlineMs() - SteadyClock.millis();
     }
 
-    /** @return whether the request is still there */
+    /** @return whether the request was still waiting for the decision */
     private boolean onQuotaDecision(QuotaClient.Admission admission) {
         if (done) {
             return false;
@@ -101,6 +104,7 @@
 
     // ---- sending
 
+    /** Chooses a server and sends the request to it, on an idle connection if there is one; fails if there is no server. */
     private void send() {
         long now = SteadyClock.millis();
         if (admitted.deadlineMs() - now < MIN_REMAINING_MS) {
@@ -160,15 +164,15 @@
         }
     }
 
-    // ---- one send
+    // ---- one attempt
 
-    /** One send of the request to a server, and what comes of it. */
+    /** One attempt to send the request to a server, and the handling of its response. */
     private final class Attempt implements UpstreamConnection.ResponseReceiver {
         private final Server server;
-        /** The permission that it took where its server was cold. */
+        /** The time slice of the permit that was acquired if the server was cold; else {@link ColdAdmission#NO_PERMIT}. */
         private final long coldPermitSlice;
         private UpstreamConnection connection;
-        /** For how long its connection had rested; 0 where it is new. */
+        /** For how long its connection had been idle, in milliseconds; 0 for a new connection. */
         private long connectionIdleMs;
         private long sentMs;
         private HttpResponse head;
@@ -184,15 +188,16 @@
             this.coldPermitSlice = coldPermitSlice;
         }
 
-        void sendOn(UpstreamConnection on) {
+        /** Sends the request on an established connection, after checking what may have changed since the choice. */
+        void sendOn(UpstreamConnection established) {
             if (!admitted.isKeyStillValid(plane)) {
-                on.channel().close();
+                established.channel().close();
                 end();
                 giveUp();
                 return;
             }
             if (!server.listed()) {
-                on.channel().close(); // drained or evacuated while the connection came up
+                established.channel().close(); // drained or evacuated while the connection was established
                 end();
                 Exchange.this.send();
                 return;
@@ -200,17 +205,18 @@
             sentMs = SteadyClock.millis();
             pool().coldAdmission().permitProbability(plane.coldPermitProbability(admitted.backend()));
             if (!pool().coldAdmission().maySend(server, coldPermitSlice, sentMs)) {
-                on.release(sentMs);
+                established.release(sentMs);
                 end();
                 Exchange.this.send();
                 return;
             }
-            connection = on;
+            connection = established;
             sentCount++;
-            on.send(UpstreamRequest.build(request, body, admitted, server, relay.lastEventId(), remainingMs()), admitted.id(),
-                    this);
+            established.send(UpstreamRequest.build(request, body, admitted, server, relay.lastEventId(), remainingMs()),
+                    admitted.id(), this);
         }
 
+        /** Releases the server's slot; called once the outcome of the attempt is known. */
         void end() {
             if (!ended) {
                 ended = true;
@@ -221,6 +227,7 @@
             }
         }
 
+        /** Closes the connection and ends the attempt without an outcome. */
         void abandon() {
             if (connection != null) {
                 connection.channel().config().setAutoRead(true);
@@ -229,6 +236,7 @@
             end();
         }
 
+        /** Time from sending to the first event, or to the complete response, in milliseconds. */
         private double latencyMs() {
             return firstEventMs > 0 ? firstEventMs : Math.max(1, SteadyClock.millis() - sentMs);
         }
@@ -243,7 +251,7 @@
             notExecuted = response.headers().contains(ProxyHeaders.NOT_EXECUTED) || response.status().code() == 421;
             boolean success = response.status().code() / 100 == 2;
             if (success && !response.headers().contains(ProxyHeaders.SIGNATURE)) {
-                closeAndFail("a success without a signature");
+                closeAndFail("successful response without a server signature");
                 return;
             }
             streaming = success && admitted.route().streaming() && UpstreamConnection.isEventStream(response);
@@ -258,12 +266,12 @@
         public void content(ByteBuf chunk) {
             if (streaming) {
                 if (!parser.feed(chunk, this::onEvent)) {
-                    closeAndFail("an event is too long");
+                    closeAndFail("event too long");
                 }
                 return;
             }
             if (responseBody.size() + chunk.readableBytes() > MAX_RESPONSE_BYTES) {
-                closeAndFail("the answer is too long");
+                closeAndFail("response too long");
                 return;
             }
             byte[] bytes = new byte[chunk.readableBytes()];
@@ -279,7 +287,7 @@
                 firstEventMs = Math.max(1, SteadyClock.millis() - sentMs);
             }
             if (!relay.forward(head, bytes, eventId, sentCount > 1)) {
-                closeAndFail("events are missing");
+                closeAndFail("events are missing from a resumed stream");
             } else if (!responseWriter.isWritable()) {
                 connection.channel().config().setAutoRead(false);
             }
@@ -291,7 +299,7 @@
                 return;
             }
             if (streaming && parser.hasPartialEvent()) {
-                failed("the stream ends inside an event");
+                failed("stream ended inside an event");
                 return;
             }
             end();
@@ -384,9 +392,9 @@
         pool().recordOutcome(admitted.promptProfile(), of.server, latencyMs, success);
     }
 
-    // ---- ends
+    // ---- completion
 
-    /** No server has answered, and none will be asked any more. */
+    /** Ends the exchange with an error after the last attempt has failed. */
     private void giveUp() {
         if (relay.hasStarted()) {
             abortResponse();
@@ -397,8 +405,10 @@
         }
     }
 
+    /** The error response for a request that no server has executed. */
     private ErrorResponse unsentError() {
-        return admitted.isKeyStillValid(plane) ? ErrorResponse.noCapacity(admitted.targetLatencyMs()) : ErrorResponse.notReady();
+        return admitted.isKeyStillValid(plane) ? ErrorResponse.noCapacity(admitted.targetLatencyMs())
+                : ErrorResponse.notReady();
     }
 
     private void abortResponse() {
@@ -428,10 +438,11 @@
 
     private boolean isSilent(Server server, long nowMs) {
         return server.silentWithTwoRequestsMs(nowMs) > SILENCE_TIMEOUT_MS
-                || server.silentMs(nowMs) > Math.max(SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_FRACTION * admitted.route().timeoutMs());
+                || server.silentMs(nowMs) > Math.max(SILENCE_TIMEOUT_MS,
+                        SILENCE_TIMEOUT_FRACTION * admitted.route().timeoutMs());
     }
 
-    /** Looks whether the server has fallen silent. */
+    /** Fails the current attempt of an idempotent request, and retries it, if its server has been silent for too long. */
     void checkServerSilence(long nowMs) {
         if (done || attempt == null || attempt.connection == null || !admitted.route().idempotent()) {
             return;
@@ -445,19 +456,19 @@
         }
     }
 
-    /** The client takes more again. */
+    /** Called when more of the response can be written to the client. */
     void onClientWritable() {
         if (attempt != null && attempt.connection != null) {
             attempt.connection.channel().config().setAutoRead(true);
         }
     }
 
-    /** The client has gone. */
+    /** Called when the client has disconnected. */
     void onClientDisconnected() {
         finish();
     }
 
-    /** The node is about to end: what has not been sent is refused. */
+    /** Refuses the request if it has not been sent to a server; called when the node is about to stop. */
     void refuseIfUnsent() {
         boolean sent = attempt != null && attempt.connection != null;
         if (!done && admitted != null && !sent && !mayHaveExecuted && !relay.hasStarted()) {
--- a/src/main/java/routerfleet/data/FleetSize.java
+++ b/src/main/java/routerfleet/data/FleetSize.java
@@ -1,15 +1,15 @@
 package routerfleet.data;
 
 /**
- * How many data nodes share what is allowed to all of them together, as control nodes tell.
+ * The number of data nodes that share common limits, as reported by control nodes.
  *
- * <p>A control node counts those that have asked it lately. One that has just started, or is cut off from some of them,
- * counts too few; if a data node believed that, all of them together would take more than there is. So what a starting
- * control node says does not count, and parts are measured by the most that was told within the last
+ * <p>A control node counts the data nodes that have polled it recently. If it has just started, or is partitioned from some
+ * data nodes, the count is too small, and shares computed from it would add up to more than the limit. Therefore counts
+ * from a starting control node are ignored, and limits are divided by the largest count reported within the last
  * {@value #RETENTION_MS} ms.
  */
 final class FleetSize {
-    /** For how long at least the largest count holds, in milliseconds. */
+    /** Minimum time for which the largest count is kept, in milliseconds. */
     static final long RETENTION_MS = 300_000;
 
     private int latest = 1;
@@ -18,9 +18,11 @@
     private long periodStartMs;
 
     /**
-     * A control node has told its count.
+     * Records the count that a control node reports.
      *
-     * @param warming whether it started so lately that it may not have heard of all
+     * @param present how many data nodes the control node has heard from recently
+     * @param warming whether the control node has started so recently that it may not know all of them
+     * @param nowMs the monotonic clock in milliseconds
      */
     void countReported(int present, boolean warming, long nowMs) {
         if (warming) {
@@ -35,12 +37,12 @@
         max = Math.max(max, latest);
     }
 
-    /** How many there are now, as far as is known; at least 1. */
+    /** The count that was reported last; at least 1. */
     int latest() {
         return latest;
     }
 
-    /** By how many a common allowance is to be divided; 0 where no control node that knows has told yet. */
+    /** The number by which a common limit is divided; 0 while no control node has reported a reliable count. */
     int divisor() {
         return Math.max(max, previousMax);
     }
--- a/src/main/java/routerfleet/data/IdleReuseLimit.java
+++ b/src/main/java/routerfleet/data/IdleReuseLimit.java
@@ -1,24 +1,24 @@
 package routerfleet.data;
 
 /**
- * For how long connections to a service's servers may rest before they are used again. Servers may forget idle
- * connections without a word, sooner than they say; a request that is sent on such a connection is reset, and may have
- * run. Once that is seen, connections that have rested long are no longer used for a while.
+ * Limits how long a connection to a service's servers may have been idle to be reused. Servers may drop idle connections
+ * without closing them, and earlier than they announce. A request on such a connection is reset, and it is then unknown
+ * whether it was executed. After such a reset, connections that have been idle for long are not reused for a while.
  */
 final class IdleReuseLimit {
-    /** After a shorter rest a reset has another cause. */
+    /** A reset after a shorter idle time has another cause. */
     private static final long MIN_IDLE_MS = 40;
     private static final long LIMIT_DURATION_MS = 20_000;
 
     private long limitMs = Long.MAX_VALUE;
     private long untilMs;
 
-    /** The longest rest after which a connection may be used, in milliseconds. */
+    /** The longest idle time after which a connection may be reused, in milliseconds. */
     long maxIdleMs(long nowMs) {
         return nowMs < untilMs ? limitMs : Long.MAX_VALUE;
     }
 
-    /** A connection that had rested was gone when it was used. */
+    /** Records that a connection that had been idle was lost when it was reused. */
     void connectionLost(long idleMs, long nowMs) {
         if (idleMs < MIN_IDLE_MS) {
             return;
--- a/src/main/java/routerfleet/data/PromptPrefix.java
+++ b/src/main/java/routerfleet/data/PromptPrefix.java
@@ -3,21 +3,25 @@
 import routerfleet.wire.HashMix;
 
 /**
- * The shared part of a prompt that decides where its request is best read.
+ * The prefix that a prompt shares with others. A server that has it in its prompt cache need not process it again.
  *
- * @param hash the same for requests that share the part; 0 where nothing worth finding again is shared
- * @param tokens length of what is shared
- * @param promptTokens length of the whole prompt, as far as it is told
+ * @param hash the same for requests that share the prefix; 0 if there is none that is worth caching
+ * @param tokens length of the shared prefix
+ * @param promptTokens length of the whole prompt; 0 if it is not known
  */
 record PromptPrefix(long hash, long tokens, long promptTokens) {
     static final PromptPrefix NONE = new PromptPrefix(0, 0, 0);
 
-    /** Shorter parts are read anew faster than a server is chosen for them. */
+    /** Processing a shorter prefix again costs less than restricting the choice of a server. */
     private static final long MIN_SHARED_TOKENS = 512;
 
     /**
-     * Reads a list of ID:TOKENS. The last part belongs to the request itself; of the others the chain up to the longest
-     * one counts.
+     * Parses a {@code Rowanplank-Prompt-Prefix} header: a comma-separated list of ID:TOKENS, one for each part of the
+     * prompt. The last part belongs to this request alone. The shared prefix extends from the first part to the longest of
+     * the others, both included.
+     *
+     * @param header may be null
+     * @return {@link #NONE} if the header is missing or malformed
      */
     static PromptPrefix parse(String header) {
         if (header == null) {
@@ -43,10 +47,11 @@
                 sharedTokens = tokens;
             }
         }
-        return sharedTokens >= MIN_SHARED_TOKENS ? new PromptPrefix(longestHash, sharedTokens, tokens) : new PromptPrefix(0, 0, tokens);
+        return sharedTokens >= MIN_SHARED_TOKENS ? new PromptPrefix(longestHash, sharedTokens, tokens)
+                : new PromptPrefix(0, 0, tokens);
     }
 
-    /** Whether it shares a part that is worth finding again. */
+    /** Whether there is a shared prefix that is worth caching. */
     boolean isShared() {
         return hash != 0;
     }
--- a/src/main/java/routerfleet/data/PromptProfile.java
+++ b/src/main/java/routerfleet/data/PromptProfile.java
@@ -1,17 +1,17 @@
 package routerfleet.data;
 
 /**
- * What the choice of a server knows of a request.
+ * The properties of a request that the choice of a server depends on.
  *
  * @param requestClass the name of its route
- * @param prefix the shared part of its prompt
- * @param targetLatencyMs the time within which its first answer earns its full worth, in milliseconds
+ * @param prefix the shared prefix of its prompt
+ * @param targetLatencyMs the route's target for the time to the first response, in milliseconds
  */
 record PromptProfile(String requestClass, PromptPrefix prefix, long targetLatencyMs) {
-    /** A prompt of so many tokens takes an engine longer to read than a short request may wait behind it. */
+    /** Processing a prompt of so many tokens delays concurrent short requests by more than they may wait. */
     private static final long LONG_PROMPT_TOKENS = 4_096;
 
-    /** Whether an engine may spend long on reading the prompt, and what runs beside it waits. */
+    /** Whether processing the prompt may take a server so long that concurrent requests are delayed noticeably. */
     boolean isLong() {
         return prefix.isShared() || prefix.promptTokens() >= LONG_PROMPT_TOKENS;
     }
--- a/src/main/java/routerfleet/data/PromptSeparation.java
+++ b/src/main/java/routerfleet/data/PromptSeparation.java
@@ -1,20 +1,21 @@
 package routerfleet.data;
 
 /**
- * Whether this node keeps long and short prompts apart, and which part of the short ones goes to the servers that are kept
- * for them. It follows the node's own requests and answers: kinds of prompt as they come, and short requests that miss
- * half of their objective in either group.
+ * Decides whether this node sends long and short prompts to separate servers, and which fraction of the short ones goes to
+ * the servers reserved for them. Both are adapted to the node's own requests: to the mix of long and short prompts, and to
+ * the short requests of either group of servers that take more than half of their target latency.
  */
 final class PromptSeparation {
-    /** Weight of one request in the shares of long and short prompts. */
+    /** Weight of one request in the moving averages of the shares of long and short prompts. */
     private static final double SHARE_WEIGHT = 0.01;
-    /** Below this share of long prompts nothing is to be kept from the others. */
+    /** Below this share of long prompts, separation is not worthwhile. */
     private static final double MIN_LONG_SHARE = 0.002;
+    /** Above this fraction, long prompts need all servers. */
     private static final double MAX_LONG_FRACTION = 0.5;
 
     private static final double MIN_PROBABILITY = 0.05;
     private static final double MAX_PROBABILITY = 0.95;
-    /** One miss in sixteen answers keeps the share as it is: about what a group without room left shows. */
+    /** One miss in sixteen responses leaves the probability unchanged: about the miss rate of a group at full load. */
     private static final double SHORT_GROUP_HIT_INCREASE = 0.01;
     private static final double SHORT_GROUP_MISS_DECREASE = 0.15;
     private static final double LONG_GROUP_MISS_INCREASE = 0.06;
@@ -24,7 +25,7 @@
     private double shortShare;
     private double shortGroupProbability = MAX_PROBABILITY;
 
-    /** A request came in. */
+    /** Records an incoming request. */
     void requestArrived(boolean isLong) {
         longShare += SHARE_WEIGHT * ((isLong ? 1 : 0) - longShare);
         shortShare += SHARE_WEIGHT * ((isLong ? 0 : 1) - shortShare);
@@ -35,12 +36,12 @@
         return longShare > MIN_LONG_SHARE && longShare <= MAX_LONG_FRACTION * (longShare + shortShare);
     }
 
-    /** The part of short prompts that goes to the servers kept for them. */
+    /** The probability with which a short prompt is sent to the servers reserved for short prompts. */
     double shortGroupProbability() {
         return shortGroupProbability;
     }
 
-    /** A short request has been answered, or has failed, which counts as a long time. */
+    /** Records the latency of a short request; a failure is recorded as a long latency. */
     void recordLatency(boolean byShortGroup, double latencyMs, long targetLatencyMs) {
         boolean missed = latencyMs > MISS_LATENCY_FRACTION * targetLatencyMs;
         double change = 0;
--- a/src/main/java/routerfleet/data/ProxyHeaders.java
+++ b/src/main/java/routerfleet/data/ProxyHeaders.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1), and the fleet's own. */
+/** Names of the fleet's own headers, and the removal of hop-by-hop headers (RFC 9110, section 7.6.1). */
 final class ProxyHeaders {
     static final AsciiString ATTEMPT_ID = AsciiString.cached("Rowanplank-Attempt-Id");
     static final AsciiString DEADLINE = AsciiString.cached("Rowanplank-Deadline-Ms");
@@ -29,7 +29,7 @@
 
     private ProxyHeaders() { }
 
-    /** The whole milliseconds of a header; 0 where it holds no number. */
+    /** Parses a header value as a number of milliseconds, rounded down; 0 if it is not a number. */
     static long parseMillis(String value) {
         try {
             return (long) Double.parseDouble(value.strip());
@@ -38,12 +38,15 @@
         }
     }
 
-    /** Headers without any checks: what is put in has been checked as it was read. */
+    /** Creates headers without validation, for values that were validated when they were read. */
     static HttpHeaders withoutValidation() {
         return DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
     }
 
-    /** Takes out what concerns one connection only, and what {@code Connection} names. */
+    /**
+     * Removes hop-by-hop headers, including those that the {@code Connection} header names, except {@code Host},
+     * {@code Content-Length} and the fleet's own.
+     */
     static void removeHopByHop(HttpHeaders headers) {
         for (String line : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : line.split(",")) {
--- a/src/main/java/routerfleet/data/QuotaClient.java
+++ b/src/main/java/routerfleet/data/QuotaClient.java
@@ -13,65 +13,71 @@
 import routerfleet.wire.QuotaDivision;
 
 /**
- * Asks the control nodes whether a request is within its tenant's limit. Each limit is divided among a few control nodes
- * ({@link QuotaDivision}); they are asked one after another until one of them grants, and for what each of them holds
- * where only all together hold enough. Where the parts of those that answer do not suffice and one of them gives no answer,
- * the node's own reserve decides.
+ * Requests grants from the control nodes to decide whether a client request is within its tenant's limit. Each limit is
+ * divided among a few control nodes, its holders ({@link QuotaDivision}). They are asked one after another for the full
+ * amount until one grants it; if all deny it but hold enough together, each is asked for what it holds. If the holders
+ * that answer do not have enough and another does not answer, the node's own reserve decides.
  *
- * <p>Bound: {@value #MAX_OPEN_REQUESTS} open questions; one account a configured tenant. A request costs at most
- * twice {@link QuotaDivision#HOLDERS} questions. For one event loop.
+ * <p>Bounds: {@value #MAX_OPEN_REQUESTS} open quota requests, one account for each configured tenant, and at most twice
+ * {@link QuotaDivision#HOLDERS} quota requests for each client request. Not thread-safe; used on one event loop.
  */
 final class QuotaClient {
-    /** A control node that has not answered by then is passed over. */
+    /** After this time without an answer the next control node is asked. */
     static final long ANSWER_TIMEOUT_MS = 50;
     private static final int MAX_OPEN_REQUESTS = 4_096;
-    /** For how long a control node that did not answer is asked last. */
+    /** For how long a control node that did not answer is asked after all others. */
     private static final long SUSPECT_DURATION_MS = 400;
-    /** One that has answered nothing for longer is asked only once in each {@value #SUSPECT_DURATION_MS} ms. */
+    /** A control node that has not answered for longer is asked only once in each {@value #SUSPECT_DURATION_MS} ms. */
     private static final long SILENCE_TIMEOUT_MS = 600;
-    /** What a late answer granted may be used by another request for so long. */
+    /** For how long an amount that was granted too late can be used by other requests. */
     private static final long SPARE_DURATION_MS = 500;
-    /** After a denial, requests that would be denied as well get no question for so long at most. */
+    /** After a denial, requests that would be denied too are denied without asking, for at most so long. */
     private static final long MAX_DENIAL_CACHE_MS = 60;
     private static final double MS_PER_SECOND = 1_000;
-    /** Sums of parts may miss the whole by so little. */
+    /** Tolerated rounding error in sums of granted shares. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** Whether a request may be sent. */
+    /** Whether a request is within its tenant's limit; {@code UNKNOWN} if no control node could decide. */
     enum Outcome { ADMITTED, DENIED, UNKNOWN }
 
-    /** @param waitMs where it is not admitted: when it may be, in milliseconds; 0 where that is not known */
+    /**
+     * The decision on a request.
+     *
+     * @param waitMs if the request is not admitted: when it may be, in milliseconds; 0 if that is not known
+     */
     record Admission(Outcome outcome, long waitMs) {
         static final Admission ADMITTED = new Admission(Outcome.ADMITTED, 0);
         static final Admission UNKNOWN = new Admission(Outcome.UNKNOWN, 0);
     }
 
-    /** Gets the answer to one request's question, at once or later. */
+    /** Receives the decision on a request, at once or later. */
     interface AdmissionCallback {
-        /** @return whether the request is still there; else what was admitted is kept for another one */
+        /** @return whether the request was still waiting; if not, the granted amount is kept for another request */
         boolean decided(Admission admission);
     }
 
-    /** The way to the control nodes. */
+    /** Messages to the control nodes, and the clock and timers of the event loop. */
     interface Transport {
-        /** Addresses of the control nodes among which limits are divided; empty before one has been heard. */
+        /** Addresses of the control nodes among which limits are divided; empty until one of them has reported them. */
         List<String> controlNodes();
 
-        /** @return whether there is a connection to send on */
+        /** Sends a message to a control node. @return false if there is no connection to it */
         boolean send(String controlNode, PeerMessage message);
 
-        /** Now, on the steady clock in milliseconds. */
+        /** The monotonic clock in milliseconds. */
         long nowMs();
 
-        /** Runs a task later on the same event loop. */
+        /** Runs a task on the same event loop after a delay. */
         void schedule(Runnable task, long delayMs);
     }
 
-    /** One tenant, as its requests are counted here. */
+    /** This node's state for one tenant: its reserve, unused grants and the last denial. */
     private static final class Account {
         private final QuotaReserve reserve;
+        /** Amount of unused grants, and until when it can be used. */
         private double spare;
         private long spareUntilMs;
+        /** The last denial applies to requests of this amount or more, for a short time. */
         private double deniedAmount;
         private long deniedUntilMs;
         private long deniedWaitMs;
@@ -82,17 +88,17 @@
         }
     }
 
-    /** What a control node is asked for. */
+    /** An amount that is requested from a control node, in the tenant's unit. */
     private record ShareRequest(String controlNode, double amount) { }
 
-    /** A control node that left a question without an answer, the first at one time, and until when it is asked last. */
+    /** A control node that does not answer: since when, and until when it is asked after all others. */
     private record Unresponsiveness(long sinceMs, long suspectUntilMs) { }
 
-    /** A part that has been asked for. */
+    /** A quota request that has been sent, and the check that it belongs to. */
     private record PendingRequest(AdmissionCheck check, ShareRequest shareRequest) { }
 
     /**
-     * One request that waits for its answer. First each holder is asked for the whole of it; where all deny, and hold
+     * The check of one client request. First each holder in turn is asked for the full amount; if all deny it but hold
      * enough together, each is asked for what it holds.
      */
     private final class AdmissionCheck {
@@ -103,9 +109,11 @@
         private final Deque<ShareRequest> remaining = new ArrayDeque<>();
         private final List<ShareRequest> availableShares = new ArrayList<>(QuotaDivision.HOLDERS);
         private long minWaitMs = Long.MAX_VALUE;
+        /** The amount that all holders together need for a request of any size to be granted. */
         private double fairLevel;
+        /** Whether holders are asked for what they have available, after all denied the full amount. */
         private boolean gathering;
-        /** Whether a holder gave no answer: what it holds is out of reach. */
+        /** Whether a holder did not answer, so that its share is not available. */
         private boolean holderMissing;
         private double gatheredAmount;
         private boolean decided;
@@ -120,6 +128,7 @@
             holderMissing = remaining.size() < holders.size();
         }
 
+        /** Sends a request to the next holder that is connected; decides the check if there is none left. */
         void requestNext() {
             if (decided) {
                 return;
@@ -137,7 +146,7 @@
             allHoldersAsked();
         }
 
-        /** The holder asked last gives no answer, or none that counts. */
+        /** Asks the next holder after the last one has not answered or does not hold a share. */
         void skipHolder() {
             holderMissing = true;
             requestNext();
@@ -147,14 +156,15 @@
             return new PeerMessage.QuotaAsk(id, tenant.name(), share.amount(), gathering);
         }
 
-        /** Whether a grant that comes late may still be of use here: it was asked for the whole of the request. */
+        /** Whether a late grant can still admit this request: it is undecided, and the grant covers its full amount. */
         boolean canUse(ShareRequest share) {
             return !decided && !gathering && share.amount() >= amount - ROUNDING_TOLERANCE;
         }
 
+        /** Counts a granted share, and admits the request once all shares together cover its amount. */
         void granted(ShareRequest share) {
             if (decided) {
-                keepSpare(account, share.amount()); // one that had been passed over was faster
+                keepSpare(account, share.amount()); // a holder that had been skipped has answered first
                 return;
             }
             gatheredAmount += share.amount();
@@ -172,13 +182,14 @@
             return callback.decided(admission);
         }
 
+        /** Records what the holder has available, and asks the next one. */
         void denied(ShareRequest share, PeerMessage.QuotaAnswer answer) {
             if (decided) {
                 return;
             }
             minWaitMs = Math.min(minWaitMs, answer.waitMs());
             if (gathering) {
-                remaining.clear(); // others were faster
+                remaining.clear(); // other requests have used the share meanwhile
             } else {
                 fairLevel = Math.max(fairLevel, answer.fairLevel());
                 availableShares.add(new ShareRequest(share.controlNode(), answer.available()));
@@ -186,7 +197,7 @@
             requestNext();
         }
 
-        /** Where it is not known how many share the reserve, there is none. */
+        /** Takes the amount from the node's reserve, which is empty while the number of data nodes is unknown. */
         private boolean tryReserve() {
             int sharers = fleetSize.divisor();
             return sharers > 0 && account.reserve.tryAcquire(amount, QuotaDivision.reserve(tenant, bounds, sharers),
@@ -208,7 +219,7 @@
             }
         }
 
-        /** What all holders together have to hold: a small request leaves room for a large one. */
+        /** The amount that all holders together must have: a small request has to leave enough for a large one. */
         private double requiredAmount() {
             return amount * 2 >= fairLevel ? amount : fairLevel;
         }
@@ -217,6 +228,7 @@
             return availableShares.stream().mapToDouble(ShareRequest::amount).sum();
         }
 
+        /** Begins to request from each holder what it has available, up to the missing amount. */
         private void gather() {
             gathering = true;
             double missing = amount;
@@ -230,6 +242,7 @@
             requestNext();
         }
 
+        /** Denies the request, and remembers the denial for requests that would be denied too. */
         private void deny() {
             if (gatheredAmount > 0) {
                 keepSpare(account, gatheredAmount);
@@ -249,7 +262,7 @@
     private final Transport transport;
     private final Map<String, Account> accounts = new HashMap<>();
     private final Map<Long, PendingRequest> pending = new HashMap<>();
-    /** What may still be answered, after another control node has been asked. */
+    /** Requests that may still be answered although another control node has been asked since; the oldest are dropped. */
     private final Map<Long, PendingRequest> timedOut = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -261,14 +274,14 @@
     private final Map<String, Unresponsiveness> unresponsive = new HashMap<>();
     private long lastId;
 
-    /** @param fleetSize how many data nodes share the reserves */
+    /** @param fleetSize the number of data nodes that share the reserves */
     QuotaClient(Bounds bounds, FleetSize fleetSize, Transport transport) {
         this.bounds = bounds;
         this.fleetSize = fleetSize;
         this.transport = transport;
     }
 
-    /** Takes the tenants of a new configuration. */
+    /** Applies the tenants of a new configuration; accounts of tenants that remain are kept. */
     void configure(List<TenantConfig> tenants) {
         Map<String, Account> before = new HashMap<>(accounts);
         accounts.clear();
@@ -279,7 +292,11 @@
         }
     }
 
-    /** What a request counts for its tenant. @param tokenUsage the client's token counts; null where it sent none */
+    /**
+     * The cost of a request in its tenant's unit: 1, or the sum of its token counts.
+     *
+     * @param tokenUsage the client's comma-separated token counts; the tenant's default applies if null or invalid
+     */
     static double cost(TenantConfig tenant, String tokenUsage) {
         if (!tenant.countsTokens()) {
             return 1;
@@ -298,7 +315,7 @@
         return Double.isFinite(sum) ? sum : tenant.uncachedTokens();
     }
 
-    /** Counts a request if it is within its tenant's limit. */
+    /** Decides whether a request is within its tenant's limit, and counts it if it is. */
     void admit(TenantConfig tenant, double amount, AdmissionCallback callback) {
         Account account = accounts.get(tenant.name());
         long nowMs = transport.nowMs();
@@ -316,17 +333,17 @@
         }
     }
 
-    /** Control nodes that answer come first, each in its turn; those that have been silent for long are left out. */
-    private List<String> orderHolders(List<String> holders, int turn) {
+    /** Rotates the holders, moves suspects to the end and leaves out those that have not answered for long. */
+    private List<String> orderHolders(List<String> holders, int first) {
         long nowMs = transport.nowMs();
         List<String> ordered = new ArrayList<>(holders.size());
         List<String> suspects = new ArrayList<>(0);
         for (int i = 0; i < holders.size(); i++) {
-            String holder = holders.get(Math.floorMod(turn + i, holders.size()));
-            Unresponsiveness silence = unresponsive.get(holder);
-            if (silence == null || silence.suspectUntilMs() <= nowMs) {
+            String holder = holders.get(Math.floorMod(first + i, holders.size()));
+            Unresponsiveness state = unresponsive.get(holder);
+            if (state == null || state.suspectUntilMs() <= nowMs) {
                 ordered.add(holder);
-            } else if (nowMs - silence.sinceMs() < SILENCE_TIMEOUT_MS) {
+            } else if (nowMs - state.sinceMs() < SILENCE_TIMEOUT_MS) {
                 suspects.add(holder);
             }
         }
@@ -334,7 +351,7 @@
         return ordered;
     }
 
-    /** A control node's answer. */
+    /** Called with the answer of a control node. */
     void answered(PeerMessage.QuotaAnswer answer) {
         boolean granted = answer.verdict() == PeerMessage.QuotaVerdict.GRANTED;
         PendingRequest request = pending.remove(answer.id());
@@ -352,7 +369,7 @@
         }
     }
 
-    /** A control node that had been passed over answers: a grant is for the request that waits, else for the next one. */
+    /** Handles an answer after its timeout: a grant admits the request if it still waits, else it is kept for another. */
     private void answeredAfterTimeout(PendingRequest request, boolean granted) {
         if (request != null) {
             unresponsive.remove(request.shareRequest().controlNode());
@@ -381,7 +398,8 @@
     private void markUnresponsive(String controlNode) {
         long nowMs = transport.nowMs();
         Unresponsiveness before = unresponsive.get(controlNode);
-        unresponsive.put(controlNode, new Unresponsiveness(before == null ? nowMs : before.sinceMs(), nowMs + SUSPECT_DURATION_MS));
+        unresponsive.put(controlNode,
+                new Unresponsiveness(before == null ? nowMs : before.sinceMs(), nowMs + SUSPECT_DURATION_MS));
     }
 
     private void keepSpare(Account account, double amount) {
@@ -390,7 +408,7 @@
         account.spareUntilMs = nowMs + SPARE_DURATION_MS;
     }
 
-    /** A control node cannot be reached any more: what it was asked goes to the next one. */
+    /** Called when the connection to a control node is lost: its open requests go to the next holder. */
     void disconnected(String controlNode) {
         unresponsive.remove(controlNode);
         List<Long> lost = pending.entrySet().stream()
--- a/src/main/java/routerfleet/data/QuotaReserve.java
+++ b/src/main/java/routerfleet/data/QuotaReserve.java
@@ -1,8 +1,8 @@
 package routerfleet.data;
 
 /**
- * What this node may admit of one tenant's limit without asking a control node: a fixed amount in any window of the
- * rules. Counted in slots of a part of a window, so that its size does not grow with requests.
+ * The amount of one tenant's limit that this node may admit without asking a control node: a fixed amount in any window of
+ * the quota rules. Usage is counted in slots of an eighth of a window, so memory does not grow with the number of requests.
  */
 final class QuotaReserve {
     private static final int SLOTS = 8;
@@ -11,12 +11,12 @@
     private final long slotMs;
     private long newestSlot;
 
-    /** @param windowMs length of the window */
+    /** @param windowMs length of the window, in milliseconds */
     QuotaReserve(long windowMs) {
         slotMs = Math.max(1, (windowMs + SLOTS - 1) / SLOTS);
     }
 
-    /** Takes an amount, where the window's total stays within the most that is allowed. */
+    /** Takes an amount if the window's total stays within a limit. @return whether it was taken */
     boolean tryAcquire(double amount, double limit, long nowMs) {
         advance(nowMs / slotMs);
         double total = 0;
--- a/src/main/java/routerfleet/data/RoutingTable.java
+++ b/src/main/java/routerfleet/data/RoutingTable.java
@@ -14,16 +14,16 @@
 import routerfleet.config.TenantConfig;
 
 /**
- * One generation of the configuration, arranged for look-ups. Immutable. Finding a route costs one hash look-up for each
- * slash in the path; a key costs one.
+ * An index of one generation of the configuration, for lookups of routes, backends and tenants. Immutable. Finding a route
+ * takes one hash lookup for each slash in the path; finding a key takes one.
  */
 final class RoutingTable {
-    /** What a node has before it has heard of any configuration. */
+    /** The table of a node that has not received any configuration. */
     static final RoutingTable EMPTY = new RoutingTable(new FleetConfiguration(0, null, null, null, null), null);
 
     private static final int MAX_SEGMENTS = 32;
 
-    /** A route, and where the running sums of its services' weights stand. */
+    /** A route, with the cumulative weights of its backends. */
     static final class Route {
         private final RouteConfig config;
         private final List<String> backends = new ArrayList<>();
@@ -51,7 +51,7 @@
             return config;
         }
 
-        /** @param random from 0 to below 1 */
+        /** Chooses a backend by weight. @param random uniform in [0, 1) */
         String backend(double random) {
             double point = random * cumulativeWeights.get(cumulativeWeights.size() - 1);
             for (int i = 0; i < backends.size(); i++) {
@@ -71,7 +71,7 @@
     private final List<TenantConfig> tenants;
     private final ClientLimits limits;
 
-    /** @param previous the table that this one takes the place of, whose unchanged routes are used again; null for none */
+    /** @param previous the table that this one replaces, whose unchanged routes are reused; null for none */
     RoutingTable(FleetConfiguration configuration, RoutingTable previous) {
         generation = configuration.generation();
         limits = configuration.limits();
@@ -114,27 +114,33 @@
         return tenants;
     }
 
-    /** The service of that name; null where there is none. */
+    /** The backend of that name; null if there is none. */
     BackendConfig backend(String name) {
         return backends.get(name);
     }
 
-    /** All services. */
+    /** All backends. */
     Iterable<BackendConfig> backends() {
         return backends.values();
     }
 
-    /** The tenant that holds a key; null where none does. */
+    /** The tenant that owns a key; null if there is none. */
     TenantConfig tenantForKey(String key) {
         return tenantsByKey.get(key);
     }
 
-    /** Whether requests need a key. */
+    /** Whether there are any tenants, in which case requests to routes that are not public need a key. */
     boolean hasTenants() {
         return !tenants.isEmpty();
     }
 
-    /** The route of that host with the longest prefix of the path; null where there is none. */
+    /**
+     * Finds the route of a host with the longest matching path prefix.
+     *
+     * @param host value of the {@code Host} header; may be null
+     * @param target the request target, with or without a query
+     * @return null if there is none
+     */
     Route findRoute(String host, String target) {
         Map<String, Route> routes = host == null ? null : routesByHost.get(hostName(host));
         if (routes == null) {
--- a/src/main/java/routerfleet/data/Server.java
+++ b/src/main/java/routerfleet/data/Server.java
@@ -6,15 +6,15 @@
 import routerfleet.settings.HostPort;
 import routerfleet.wire.SessionRecord;
 
-/** A model server as this node knows it: its session, connections, and what came of this node's own requests. */
+/** This node's state of one model server: its session, its connections, and the outcomes of this node's own requests. */
 final class Server {
     private static final long INITIAL_BACKOFF_MS = 400;
     private static final long MAX_BACKOFF_MS = 6_000;
-    /** Weight of one answer in the failure rate: two failures in a row are no single case. */
+    /** Weight of one response in the failure rate: two failures in a row raise it above {@link #MAX_FAILURE_RATE}. */
     private static final double FAILURE_RATE_WEIGHT = 0.25;
     private static final double MAX_FAILURE_RATE = 0.4;
 
-    /** An idle connection, since when it rests and until when it may be used, on the steady clock in milliseconds. */
+    /** An idle connection: since when it is idle, until when it may be reused; on the monotonic clock in milliseconds. */
     record IdleConnection(UpstreamConnection connection, long sinceMs, long usableUntilMs) { }
 
     private final String uid;
@@ -34,18 +34,18 @@
     private long avoidUntilMs;
     private boolean probeInFlight;
     private double failureRate;
-    /** When the oldest request that has had no sign of the server since was sent; 0 for none. */
+    /** Since when the server has been silent with at least one request in flight; 0 if it is not. */
     private long silentSinceMs;
-    /** The same of the second oldest. */
+    /** Since when the server has been silent with at least two requests in flight; 0 if it is not. */
     private long secondSilentSinceMs;
 
     Server(SessionRecord session) {
         this(session, new ZoneReachability());
     }
 
-    /** @param zoneReach shared by the servers of its zone */
-    Server(SessionRecord session, ZoneReachability zoneReach) {
-        this.zoneReachability = zoneReach;
+    /** @param zoneReachability shared by all servers of its zone */
+    Server(SessionRecord session, ZoneReachability zoneReachability) {
+        this.zoneReachability = zoneReachability;
         uid = session.uid();
         backend = session.backend();
         address = HostPort.parse(session.address());
@@ -65,17 +65,17 @@
         return address;
     }
 
-    /** Where it runs; empty where it does not say. */
+    /** The zone it runs in; empty if it does not report one. */
     String zone() {
         return zone;
     }
 
-    /** Until when it counts as cold. */
+    /** Whether and for how long the server is cold. */
     WarmupState warmupState() {
         return warmupState;
     }
 
-    /** This node's permission for it while it is cold. */
+    /** This node's permit to send to the server while it is cold. */
     ColdAdmission.Permit coldPermit() {
         return coldPermit;
     }
@@ -88,7 +88,7 @@
         capacity = changed;
     }
 
-    /** Whether it may be sent new requests, as far as control nodes say. */
+    /** Whether it may be sent new requests according to the control nodes. */
     boolean listed() {
         return listed;
     }
@@ -97,7 +97,7 @@
         listed = isListed;
     }
 
-    /** Whether it is kept for short prompts, where nodes keep them apart. */
+    /** Whether it is reserved for short prompts while nodes separate them from long ones. */
     boolean isReservedForShort() {
         return reservedForShort;
     }
@@ -123,6 +123,7 @@
         idleConnections.removeIf(i -> i.connection() == connection);
     }
 
+    /** Records that a request was assigned to the server. */
     void requestSent(long nowMs) {
         inFlight++;
         zoneReachability.requestSent(nowMs);
@@ -136,6 +137,7 @@
         }
     }
 
+    /** Records that a request to the server has ended, whatever its outcome. */
     void requestEnded() {
         inFlight--;
         probeInFlight = false;
@@ -147,41 +149,41 @@
         }
     }
 
-    /** It has taken a connection. */
+    /** Records that a connection was established. */
     void connected(long nowMs) {
         zoneReachability.reached(nowMs);
     }
 
-    /** It has not answered a connect. @param sinceMs when that began, on the steady clock */
+    /** Records a connect timeout. @param connectStartMs when the connect began, on the monotonic clock in milliseconds */
     void connectTimedOut(long connectStartMs, long nowMs) {
         zoneReachability.connectTimedOut(connectStartMs, nowMs);
     }
 
-    /** Bytes have come from it. */
+    /** Records that bytes were received from the server. */
     void bytesReceived(long nowMs) {
         zoneReachability.reached(nowMs);
         silentSinceMs = inFlight > 0 ? nowMs : 0;
         secondSilentSinceMs = inFlight > 1 ? nowMs : 0;
     }
 
-    /** For how long it has been silent while it owed something, in milliseconds. */
+    /** For how long it has sent nothing with at least one request in flight, in milliseconds. */
     long silentMs(long nowMs) {
         return silentSinceMs == 0 ? 0 : nowMs - silentSinceMs;
     }
 
-    /** For how long it has been silent while it owed something to two requests or more, in milliseconds. */
+    /** For how long it has sent nothing with at least two requests in flight, in milliseconds. */
     long silentWithTwoRequestsMs(long nowMs) {
         return secondSilentSinceMs == 0 ? 0 : nowMs - secondSilentSinceMs;
     }
 
-    /** It answered as it should. */
+    /** Records a response without a server error; resets the backoff. */
     void recordSuccess() {
         failureRate -= FAILURE_RATE_WEIGHT * failureRate;
         backoffMs = INITIAL_BACKOFF_MS;
         avoidUntilMs = 0;
     }
 
-    /** It gave no answer, or a failure: left alone only where that is no single case. */
+    /** Records a missing response or a server error; the server is avoided only if its failure rate becomes too high. */
     void recordError(long nowMs) {
         failureRate += FAILURE_RATE_WEIGHT * (1 - failureRate);
         if (failureRate > MAX_FAILURE_RATE) {
@@ -189,7 +191,7 @@
         }
     }
 
-    /** It failed, or could not be reached: it is left alone for a while, longer each time. */
+    /** Avoids the server after it failed or could not be reached; the time doubles with each repetition, up to a limit. */
     void backOff(long nowMs) {
         if (nowMs >= avoidUntilMs) {
             avoidUntilMs = nowMs + backoffMs;
@@ -197,15 +199,16 @@
         }
     }
 
-    /** Whether it is left alone now; after the pause, one request at a time tries it. */
+    /** Whether the server is to be avoided now. After the backoff, one request at a time probes it until one succeeds. */
     boolean isAvoided(long nowMs) {
         return nowMs < avoidUntilMs || avoidUntilMs != 0 && probeInFlight || zoneReachability.isAvoided(nowMs);
     }
 
     /**
-     * Takes an idle connection that may be used, the one used last; null where there is none.
+     * Takes the most recently used of the reusable idle connections, and closes those that are no longer reusable.
      *
-     * @param maxIdleMs for how long it may have rested
+     * @param maxIdleMs for how long it may have been idle
+     * @return null if there is none
      */
     IdleConnection takeIdleConnection(long nowMs, long maxIdleMs) {
         if (zoneReachability.isUnreachable()) {
@@ -222,6 +225,7 @@
         return null;
     }
 
+    /** Adds an idle connection. @param usableUntilMs until when it may be reused, on the same clock as {@code nowMs} */
     void addIdleConnection(UpstreamConnection connection, long nowMs, long usableUntilMs) {
         idleConnections.addLast(new IdleConnection(connection, nowMs, usableUntilMs));
     }
--- a/src/main/java/routerfleet/data/ServerGroups.java
+++ b/src/main/java/routerfleet/data/ServerGroups.java
@@ -8,16 +8,17 @@
 import routerfleet.wire.HashMix;
 
 /**
- * The servers of a service in two groups: those that read long prompts, and in each zone a quarter that is kept for short
- * ones. An engine reads a prompt in pieces between the tokens of what runs beside it, so a short request next to a long
- * reading waits for it; no node can see what the others have an engine read, but all of them divide the servers alike. A
- * zone with fewer than four servers keeps none apart.
+ * Divides the servers of a service into two groups: one for long prompts, and a quarter of each zone that is reserved for
+ * short ones. An engine processes prompts in chunks, interleaved with token generation for its other requests, so a short
+ * request is delayed by a long prompt at the same engine. A node does not know which prompts other nodes have sent to an
+ * engine, but all nodes divide the servers in the same way. In a zone with fewer than four servers, none is reserved.
  */
 final class ServerGroups {
+    /** One of so many servers of a zone is reserved for short prompts. */
     private static final int SHORT_GROUP_DIVISOR = 4;
     private static final long RANK_MULTIPLIER = 7_919;
 
-    /** Servers to draw from: those in the node's own zone, and all. */
+    /** Servers to choose from: those in the node's own zone (all, if there are none there), and all. */
     record Candidates(List<Server> local, List<Server> all) {
         static Candidates of(List<Server> servers, String zone) {
             List<Server> local = servers.stream().filter(server -> server.zone().equals(zone)).toList();
@@ -31,7 +32,7 @@
     private final PrefixRing ringOfAll;
     private final PrefixRing ringOfLong;
 
-    /** @param zone the node's own */
+    /** Divides the servers, and marks each with its group. @param zone the node's own */
     ServerGroups(List<Server> servers, String zone) {
         List<Server> longGroup = new ArrayList<>();
         List<Server> shortGroup = new ArrayList<>();
@@ -60,24 +61,27 @@
         return HashMix.mix(server.uid().hashCode() * RANK_MULTIPLIER);
     }
 
-    /** Whether there are servers to keep for short prompts. */
+    /** Whether any servers are reserved for short prompts. */
     boolean canSeparate() {
         return !forShort.all().isEmpty();
     }
 
+    /** All servers. */
     Candidates all() {
         return all;
     }
 
+    /** The servers for long prompts. */
     Candidates forLong() {
         return forLong;
     }
 
+    /** The servers reserved for short prompts. */
     Candidates forShort() {
         return forShort;
     }
 
-    /** Where shared parts are at home. @param separated whether long prompts keep to their group */
+    /** The hash ring of prompt prefixes. @param separated whether long prompts are limited to their group */
     PrefixRing ring(boolean separated) {
         return separated ? ringOfLong : ringOfAll;
     }
--- a/src/main/java/routerfleet/data/ServerPool.java
+++ b/src/main/java/routerfleet/data/ServerPool.java
@@ -11,33 +11,37 @@
 import routerfleet.wire.HashMix;
 
 /**
- * The listed servers of one service, and the choice among them.
+ * The listed servers of one service, and the choice of a server for each request.
  *
- * <p>The design: a random neural network for each class of request with a neuron for each listed server; two servers are
- * drawn, and the one with the lower (own requests in flight + 1) / q gets the request. Where a long part of the prompt is
- * shared, the two are drawn from a hash ring: the servers where that part has been read before. Long and short prompts are
- * kept apart where there are both ({@link ServerGroups}, {@link PromptSeparation}).
+ * <p>Each class of requests has a random neural network with one neuron for each listed server, which learns from the
+ * outcomes of this node's requests. Two servers are drawn at random, and the one with the lower score, (own requests in
+ * flight + 1) / q, gets the request; q is the neuron's quality. If the prompt has a long shared prefix, the two servers
+ * come from a consistent hash ring instead: they are the most likely ones to have the prefix in their caches. If there are
+ * both long and short prompts, they go to separate servers ({@link ServerGroups}, {@link PromptSeparation}).
  *
- * <p>Cold servers take part only where the node has a permission for them now ({@link ColdAdmission}).
+ * <p>A cold server is chosen only if the node has a permit for it now ({@link ColdAdmission}).
  *
- * <p>Cost of a choice: two draws, or a binary search on the ring. Bound: {@value #MAX_CLASSES} networks; further
- * classes share the last one.
+ * <p>A choice takes two draws, or a binary search on the ring. There are at most {@value #MAX_CLASSES} networks; further
+ * classes share one. Not thread-safe; used on one event loop.
  */
 final class ServerPool {
     private static final int MAX_CLASSES = 32;
-    /** The network of classes beyond that. */
+    /** Name of the network that is shared by classes beyond the limit. */
     private static final String SHARED_CLASS = "";
     private static final int MAX_DRAWS = 6;
-    /** How much worse the home of a shared part may look than the other server drawn: reading it anew costs more. */
+    /**
+     * Factor on the score of a prefix's first server on the ring when it is compared with the second one: processing the
+     * prefix again costs more.
+     */
     private static final double CACHE_PREFERENCE = 0.3;
-    /** How much worse a server in the node's own zone may look than one elsewhere: bytes between zones are paid for. */
+    /** Factor by which the score of a server in the node's own zone may be higher: traffic between zones is charged. */
     private static final double LOCAL_ZONE_PREFERENCE = 1.5;
-    /** How much worse a cold server may look that the node has a permission for: a warm one can be had at any time. */
+    /** Factor by which the score of a cold server with a permit may be higher: warm servers are always available. */
     private static final double COLD_SERVER_PREFERENCE = 1.5;
-    /** Requests that both count for beside those in flight, so that a few of them do not send a part elsewhere. */
+    /** Added to the requests in flight of both servers on the ring, so that a few requests do not move a prefix. */
     private static final double CACHE_SCORE_OFFSET = 4;
 
-    /** The network of one class. */
+    /** The network of one class of requests, with the neuron of each server. */
     private static final class ClassNetwork {
         private final RandomNeuralNetwork network = new RandomNeuralNetwork();
         private final Map<Server, Neuron> neurons = new HashMap<>();
@@ -61,12 +65,12 @@
         groups = new ServerGroups(servers, zone);
     }
 
-    /** For how long connections to its servers may rest. */
+    /** For how long connections to the servers may have been idle to be reused. */
     IdleReuseLimit idleReuseLimit() {
         return idleReuseLimit;
     }
 
-    /** Which requests may go to its cold servers. */
+    /** The permits for the cold servers. */
     ColdAdmission coldAdmission() {
         return coldAdmission;
     }
@@ -79,14 +83,14 @@
         return servers;
     }
 
-    /** {@link #applyMembership} is to follow, once for all servers that come and go at one time. */
+    /** Adds a server. {@link #applyMembership} must follow, once for all servers that are added and removed together. */
     void add(Server server) {
         servers.add(server);
         classes.values().forEach(network -> network.neurons.put(server, network.network.addNeuron()));
         membershipChanged = true;
     }
 
-    /** {@link #applyMembership} is to follow. */
+    /** Removes a server. {@link #applyMembership} must follow. */
     void remove(Server server) {
         if (servers.remove(server)) {
             classes.values().forEach(network -> network.network.removeNeuron(network.neurons.remove(server)));
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Takes servers that came or went into the choice. Costs O(n log n) for n servers where any did, else nothing. */
+    /** Updates networks and groups after servers were added or removed, in O(n log n) time for n servers. */
     void applyMembership() {
         if (membershipChanged) {
             membershipChanged = false;
@@ -103,7 +107,7 @@
         }
     }
 
-    /** Forgets the networks of classes that are no more, so that new ones find room. */
+    /** Removes the networks of classes that no longer exist, to make room for new ones. */
     void retainClasses(Set<String> names) {
         classes.keySet().removeIf(name -> !name.equals(SHARED_CLASS) && !names.contains(name));
     }
@@ -126,7 +130,7 @@
         return created;
     }
 
-    /** One answer of a server, or how long a failure counts as, in milliseconds. */
+    /** Records the outcome of a request. @param latencyMs time to the first response; for a failure, a penalty */
     void recordOutcome(PromptProfile profile, Server server, double latencyMs, boolean success) {
         if (!profile.isLong() && groups.canSeparate()) {
             separation.recordLatency(server.isReservedForShort(), latencyMs, profile.targetLatencyMs());
@@ -141,9 +145,9 @@
     /**
      * Chooses a server.
      *
-     * @param limit how many requests this node may have in flight at one server
-     * @param tried servers that this request has been sent to
-     * @return null where none may take it
+     * @param limit maximum number of requests that this node may have in flight at one server
+     * @param tried servers to which this request has already been sent
+     * @return null if no server can take the request
      */
     Server choose(PromptProfile profile, int limit, List<Server> tried, long nowMs) {
         if (servers.isEmpty()) {
@@ -152,7 +156,8 @@
         separation.requestArrived(profile.isLong());
         ClassNetwork network = network(profile.requestClass());
         Server chosen = profile.prefix().isShared() ? chooseFromRing(network, profile.prefix(), limit, tried, nowMs)
-                : preferPermittedCold(network, chooseOfTwo(network, candidates(profile), limit, tried, nowMs), limit, tried, nowMs);
+                : preferPermittedCold(network, chooseOfTwo(network, candidates(profile), limit, tried, nowMs), limit, tried,
+                        nowMs);
         return chosen != null ? chosen : chooseAny(network, limit, tried, nowMs);
     }
 
@@ -168,7 +173,10 @@
         return toShortGroup ? groups.forShort() : groups.forLong();
     }
 
-    /** Draws one server near and one anywhere; the near one may look a little worse, as it saves a crossing of zones. */
+    /**
+     * Draws one server in the node's own zone and one anywhere, and takes the one with the lower score. The local one is
+     * preferred if that avoids traffic between zones.
+     */
     private Server chooseOfTwo(ClassNetwork network, ServerGroups.Candidates candidates, int limit, List<Server> tried,
             long nowMs) {
         Server local = draw(candidates.local(), null, limit, tried, nowMs);
@@ -177,10 +185,14 @@
             return local == null ? other : local;
         }
         boolean avoidsZoneCrossing = local.zone().equals(zone) && !other.zone().equals(zone);
-        return score(network, local) <= score(network, other) * (avoidsZoneCrossing ? LOCAL_ZONE_PREFERENCE : 1) ? local : other;
+        return score(network, local) <= score(network, other) * (avoidsZoneCrossing ? LOCAL_ZONE_PREFERENCE : 1) ? local
+                : other;
     }
 
-    /** A permission for a cold server lasts one slice, and draws among all would seldom find it: it is looked for. */
+    /**
+     * Prefers a cold server with a permit to the chosen warm one unless its score is much worse. Permits expire with their
+     * slice, and random draws would rarely hit the few servers that have one.
+     */
     private Server preferPermittedCold(ClassNetwork network, Server warm, int limit, List<Server> tried, long nowMs) {
         for (Server cold : coldAdmission.serversWithPermit(servers, nowMs)) {
             boolean eligible = isEligible(cold, limit, tried, nowMs);
@@ -191,24 +203,26 @@
         return warm;
     }
 
+    /** Chooses between the first two eligible servers on the ring, of which the first most likely has the prefix cached. */
     private Server chooseFromRing(ClassNetwork network, PromptPrefix prefix, int limit, List<Server> tried, long nowMs) {
         PrefixRing ring = groups.ring(separatesPrompts());
         int start = ring.firstIndex(prefix.hash());
-        Server home = null;
+        Server first = null;
         for (int i = 0; i < ring.size(); i++) {
             Server next = ring.server(start + i);
-            if (next == home || !isEligible(next, limit, tried, nowMs)) {
+            if (next == first || !isEligible(next, limit, tried, nowMs)) {
                 continue;
             }
-            if (home == null) {
-                home = next;
+            if (first == null) {
+                first = next;
             } else {
-                return cacheAwareScore(network, home) * CACHE_PREFERENCE <= cacheAwareScore(network, next) ? home : next;
+                return cacheAwareScore(network, first) * CACHE_PREFERENCE <= cacheAwareScore(network, next) ? first : next;
             }
         }
-        return home;
+        return first;
     }
 
+    /** Draws an eligible server other than the given one at random; null after {@value #MAX_DRAWS} ineligible ones. */
     private Server draw(List<Server> from, Server other, int limit, List<Server> tried, long nowMs) {
         for (int i = 0; i < MAX_DRAWS && !from.isEmpty(); i++) {
             Server drawn = from.get(random.nextInt(from.size()));
@@ -224,7 +238,7 @@
                 && coldAdmission.permits(server, nowMs);
     }
 
-    /** Where all draws failed: whichever has room, one that is left alone only if there is no other. */
+    /** Fallback if all draws failed: the server with the best score that is below the limit, avoided servers included. */
     private Server chooseAny(ClassNetwork network, int limit, List<Server> tried, long nowMs) {
         Server best = null;
         for (Server server : servers) {
@@ -242,11 +256,12 @@
         return score(network, a) <= score(network, b) ? a : b;
     }
 
-    /** Of a server that may have read a part already: one answer moves q too far to send the part elsewhere. */
+    /** Score of a server that may have the prefix cached. It is damped, since one response changes q by too much. */
     private static double cacheAwareScore(ClassNetwork network, Server server) {
         return (server.inFlight() + CACHE_SCORE_OFFSET) / Math.sqrt(network.neurons.get(server).quality());
     }
 
+    /** Expected delay of a request at a server relative to other servers; lower is better. */
     private static double score(ClassNetwork network, Server server) {
         return (server.inFlight() + 1) / network.neurons.get(server).quality();
     }
--- a/src/main/java/routerfleet/data/ServerRegistry.java
+++ b/src/main/java/routerfleet/data/ServerRegistry.java
@@ -15,14 +15,17 @@
 import routerfleet.wire.SessionView;
 
 /**
- * The servers that this node may use, put together from what each control node says. A server is listed while at least
- * one control node has it live, none has told that it drains or is gone, and its zone is not evacuated. One that is live in
- * an evacuated zone is kept, with what is known of its health. What a control node said stays while it
- * cannot be reached, and while its table fills after a start, if there is no other that says more. A node that has just
- * started may be told what control nodes knew before their own start: that counts until a table has filled, and at the most
- * until this node counts as being in touch with the core, from when on drained servers get nothing more.
+ * The servers that this node may use, merged from the sessions that each control node reports. A server is listed while at
+ * least one control node reports it as live, none has reported it as draining or gone, and its zone is not evacuated. A
+ * live server in an evacuated zone is kept together with its health state.
  *
- * <p>Bound: {@value #MAX_SERVERS} servers in {@value #MAX_ZONES} zones; the ends of {@value #MAX_ENDED} are remembered.
+ * <p>The sessions of a control node are kept while it is disconnected, unless another one with a complete table is
+ * connected, and while its table is incomplete after a restart. A data node that has just started may receive sessions from
+ * before the control nodes' restart. They count until a control node's table is complete, and at most until this node
+ * counts as connected to the control plane: from then on, drained servers must not get any requests.
+ *
+ * <p>Bounds: {@value #MAX_SERVERS} servers in {@value #MAX_ZONES} zones, and {@value #MAX_ENDED} ended servers. Not
+ * thread-safe; used on one event loop.
  */
 final class ServerRegistry {
     private static final System.Logger LOG = Loggers.get("routerfleet.data");
@@ -31,10 +34,13 @@
     private static final int MAX_ZONES = 256;
     private static final long ABSENT_VIEW_TIMEOUT_MS = 3_000;
     private static final long DEFAULT_HEARTBEAT_MS = 1_000;
-    /** A server that has said nothing for so many heartbeats is not live any more; one that has turned cold has said so. */
+    /**
+     * A server that misses so many heartbeats is no longer live; one that is still live has reported by then if it has
+     * become cold.
+     */
     private static final double ASSUME_COLD_HEARTBEATS = 3.5;
 
-    /** What one control node says. */
+    /** The sessions that one control node reports. */
     private static final class ControlNodeView {
         private long epoch;
         private long revision;
@@ -42,7 +48,7 @@
         private boolean connected;
         private long lastHeardNanos;
         private final Map<String, SessionView> sessions = new HashMap<>();
-        /** What it said before it was started again, until its new table has filled. */
+        /** The sessions it reported before it was restarted, kept until its new table is complete. */
         private final Map<String, SessionView> sessionsBeforeRestart = new HashMap<>();
     }
 
@@ -51,7 +57,7 @@
     private final Map<String, ServerPool> pools = new HashMap<>();
     private final Map<String, ZoneReachability> zoneReachability = new HashMap<>();
     private final Set<String> endedServers = new HashSet<>();
-    /** What control nodes knew before they started. */
+    /** Sessions that control nodes knew before they were restarted. */
     private final Map<String, SessionView> earlierSessions = new HashMap<>();
     private boolean acceptsEarlierSessions = true;
     private Set<String> evacuatedZones = Set.of();
@@ -61,7 +67,9 @@
     private final long assumeColdMs;
 
     /**
-     * @param nanoTime the steady clock in nanoseconds
+     * Creates a registry for servers with the default heartbeat interval.
+     *
+     * @param nanoTime the monotonic clock in nanoseconds
      * @param zone the node's own
      */
     ServerRegistry(long seed, LongSupplier nanoTime, String zone) {
@@ -69,9 +77,11 @@
     }
 
     /**
-     * @param nanoTime the steady clock in nanoseconds
+     * Creates an empty registry.
+     *
+     * @param nanoTime the monotonic clock in nanoseconds
      * @param zone the node's own
-     * @param heartbeatMs how often a server sends its heartbeat
+     * @param heartbeatMs interval of the servers' heartbeats, in milliseconds
      */
     ServerRegistry(long seed, LongSupplier nanoTime, String zone, long heartbeatMs) {
         assumeColdMs = (long) (heartbeatMs * ASSUME_COLD_HEARTBEATS);
@@ -80,31 +90,34 @@
         this.seed = seed;
     }
 
-    /** The listed servers of a service; empty where there are none. */
+    /** The listed servers of a service; empty if there are none. */
     ServerPool pool(String backend) {
         return pools.computeIfAbsent(backend, b -> new ServerPool(seed ^ b.hashCode(), zone));
     }
 
-    /** Takes the classes of requests of a new configuration. */
+    /** Removes what was learned for request classes that a new configuration no longer has. */
     void retainClasses(Set<String> names) {
         pools.values().forEach(pool -> pool.retainClasses(names));
     }
 
-    /** Servers, listed or not, that this node still knows. */
+    /** All known servers, listed or not. */
     Iterable<Server> servers() {
         return servers.values();
     }
 
+    /** The epoch of a control node's session table as last received; 0 for none. */
     long epoch(String controlNode) {
         ControlNodeView view = views.get(controlNode);
         return view == null ? 0 : view.epoch;
     }
 
+    /** The revision of a control node's session table as last received; 0 for none. */
     long revision(String controlNode) {
         ControlNodeView view = views.get(controlNode);
         return view == null ? 0 : view.revision;
     }
 
+    /** Applies changes of a control node's session table, or the full table. */
     void applySessionChanges(String controlNode, PeerMessage.SessionChanges changes) {
         ControlNodeView view = views.computeIfAbsent(controlNode, c -> new ControlNodeView());
         view.connected = true;
@@ -136,7 +149,7 @@
         updateListings(affected);
     }
 
-    /** Takes what a control node knew before it started, unless more is known already. */
+    /** Adds the sessions that a control node knew before it was restarted, unless a complete table has been received. */
     void addEarlierSessions(List<SessionRecord> sessions) {
         if (!acceptsEarlierSessions) {
             return;
@@ -152,7 +165,7 @@
         updateListings(affected);
     }
 
-    /** Takes the zones that are evacuated from now on, in place of those before. */
+    /** Replaces the set of evacuated zones. Servers of zones that are no longer evacuated are assumed to be cold. */
     void setEvacuatedZones(Collection<String> zones) {
         Set<String> before = evacuatedZones;
         evacuatedZones = Set.copyOf(zones);
@@ -177,7 +190,7 @@
         return servers.values().stream().filter(server -> server.zone().equals(ofZone)).count();
     }
 
-    /** From now on only what control nodes know since their start counts. */
+    /** Drops the sessions from before the control nodes' restart, and ignores them from now on. */
     void dropEarlierSessions() {
         acceptsEarlierSessions = false;
         if (!earlierSessions.isEmpty()) {
@@ -186,7 +199,7 @@
         }
     }
 
-    /** @param warming whether its table may still lack servers */
+    /** Records that a control node has answered a poll. @param warming whether its table may still be incomplete */
     void pollAnswered(String controlNode, boolean warming) {
         ControlNodeView view = views.computeIfAbsent(controlNode, c -> new ControlNodeView());
         view.lastHeardNanos = nanoTime.getAsLong();
@@ -201,6 +214,7 @@
         }
     }
 
+    /** Records that the connection to a control node was lost. */
     void disconnected(String controlNode) {
         ControlNodeView view = views.get(controlNode);
         if (view != null) {
@@ -208,7 +222,10 @@
         }
     }
 
-    /** Drops what long absent control nodes have said, where others are there, and servers that are done with. */
+    /**
+     * Drops the sessions of control nodes that have been disconnected for long, if another one with a complete table is
+     * connected, and removes servers and pools that are no longer used. To be called regularly.
+     */
     void removeStale() {
         long now = nanoTime.getAsLong();
         boolean anyConnected = views.values().stream().anyMatch(v -> v.connected && !v.warming);
@@ -224,7 +241,7 @@
         pools.values().removeIf(pool -> pool.size() == 0);
     }
 
-    /** @param fresh whether its heartbeat has just come to a control node */
+    /** Adds or updates a server. @param fresh whether the control node has just received the session's heartbeat */
     private void addOrUpdate(SessionRecord session, boolean fresh) {
         Server server = servers.get(session.uid());
         if (server != null) {
@@ -246,7 +263,7 @@
                 : zoneReachability.getOrDefault(ofZone, new ZoneReachability());
     }
 
-    /** A server answered under another name, or has said that it ends: it gets nothing more. */
+    /** Stops using a server for good: it reported its end, or another instance responded at its address. */
     void markEnded(String uid) {
         if (endedServers.size() >= MAX_ENDED) {
             endedServers.clear();
@@ -276,7 +293,7 @@
         }
     }
 
-    /** Whether it may be used unless its zone is evacuated. */
+    /** Whether a server may be used, evacuations aside. */
     private boolean isUsable(String uid) {
         return !endedServers.contains(uid) && isLive(uid);
     }
--- a/src/main/java/routerfleet/data/StreamRelay.java
+++ b/src/main/java/routerfleet/data/StreamRelay.java
@@ -7,29 +7,29 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * Passes the events of one answer on to its client, whole and each one once, from one server or from several in turn. The
- * answer keeps the head of its first server.
+ * Forwards the events of one streamed response to its client, complete and each once, from one server or from several in
+ * turn if the stream is resumed. The response has the head that the first server sent.
  */
 final class StreamRelay {
     private final ClientResponseWriter writer;
     private boolean started;
     private long lastEventId = -1;
 
-    StreamRelay(ClientResponseWriter reply) {
-        this.writer = reply;
+    StreamRelay(ClientResponseWriter writer) {
+        this.writer = writer;
     }
 
-    /** Whether the client has been sent a head. */
+    /** Whether the head of the response has been written. */
     boolean hasStarted() {
         return started;
     }
 
-    /** Number of the last event that was passed on; negative before the first. */
+    /** Number of the last event that was forwarded; negative before the first. */
     long lastEventId() {
         return lastEventId;
     }
 
-    /** Sends the head, the first time. */
+    /** Writes the head of the response unless it has been written. */
     void writeHead(HttpResponse head) {
         if (started) {
             return;
@@ -43,10 +43,11 @@
     }
 
     /**
-     * Passes an event on, unless an earlier server has sent it.
+     * Forwards an event unless it has already been received from an earlier server.
      *
-     * @param resumed whether it comes from another server than the first
-     * @return false where events before it are missing
+     * @param head written to the client before the first event
+     * @param resumed whether this is not the first attempt of the request
+     * @return false if events before this one are missing
      */
     boolean forward(HttpResponse head, byte[] bytes, long eventId, boolean resumed) {
         boolean numbered = eventId >= 0 && lastEventId >= 0;
--- a/src/main/java/routerfleet/data/UpstreamConnection.java
+++ b/src/main/java/routerfleet/data/UpstreamConnection.java
@@ -21,11 +21,11 @@
 import routerfleet.wire.SteadyClock;
 
 /**
- * One connection to a model server: one request at a time, and the answer handed to its receiver as it comes. An answer
- * that belongs to another request is passed over; bytes that no request waits for end the connection.
+ * A connection to a model server. It carries one request at a time and passes the response to a receiver as it arrives. A
+ * response to another request is skipped; bytes that arrive while no request is pending close the connection.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    /** A part of the usual objectives, so that another server can still answer within them. */
+    /** Well below the usual target latencies, so that another server can still respond in time after a timeout. */
     private static final int CONNECT_TIMEOUT_MS = 250;
     private static final int MAX_LINE_BYTES = 8 << 10;
     private static final int MAX_HEADER_BYTES = 32 << 10;
@@ -35,19 +35,19 @@
     private static final int MAX_TIMEOUT_DIGITS = 6;
     private static final int MAX_SKIPPED_RESPONSES = 2;
 
-    /** Who gets an answer. Every answer ends with {@link #complete} or {@link #failed}. */
+    /** Receives a response. Each response ends with a call of {@link #complete} or {@link #failed}, unless abandoned. */
     interface ResponseReceiver {
-        /** The head of the answer. */
+        /** Called with the head of the response. */
         void head(HttpResponse response);
 
-        /** A piece of the body; valid during the call. */
+        /** Called with a chunk of the body, which is valid only during the call. */
         void content(ByteBuf chunk);
 
-        /** The answer is whole. */
+        /** Called when the response is complete. */
         void complete();
 
-        /** No whole answer will come; the request may have run. */
-        void failed(String why);
+        /** Called when the response failed; the request may have been executed. */
+        void failed(String reason);
     }
 
     private final Server server;
@@ -64,7 +64,7 @@
         this.server = server;
     }
 
-    /** Opens a connection. The future tells when it is up. */
+    /** Opens a connection. The future completes when it is established or has failed. */
     static ChannelFuture open(EventLoop loop, Server server) {
         UpstreamConnection connection = new UpstreamConnection(server);
         server.connectionOpened();
@@ -83,7 +83,7 @@
         return connected;
     }
 
-    /** The handler of a channel that {@link #open} has opened. */
+    /** The connection of a channel that {@link #open} has opened. */
     static UpstreamConnection of(Channel channel) {
         return channel.pipeline().get(UpstreamConnection.class);
     }
@@ -92,7 +92,7 @@
         return channel;
     }
 
-    /** Sends a request. @param id that the answer has to carry, if it carries any */
+    /** Sends a request. @param id the attempt id; responses with another one are skipped, those without one accepted */
     void send(FullHttpRequest request, String id, ResponseReceiver responseReceiver) {
         receiver = responseReceiver;
         expectedId = id;
@@ -107,7 +107,7 @@
         });
     }
 
-    /** Gives up the answer that is awaited, and the connection. */
+    /** Abandons the pending response and closes the connection. */
     void abandon() {
         receiver = null;
         channel.close();
@@ -118,7 +118,7 @@
         try {
             server.bytesReceived(SteadyClock.millis());
             if (receiver == null) {
-                context.close(); // bytes that belong to no request
+                context.close(); // bytes without a pending request
                 return;
             }
             if (message instanceof HttpResponse response) {
@@ -134,7 +134,7 @@
 
     private void handleHead(HttpResponse response) {
         if (response.decoderResult().isFailure()) {
-            fail("not an answer in the protocol");
+            fail("malformed response");
             return;
         }
         inResponse = true;
@@ -142,14 +142,14 @@
         skipping = id != null && !id.equals(expectedId);
         if (skipping) {
             if (++skippedResponses > MAX_SKIPPED_RESPONSES) {
-                fail("answers to other requests");
+                fail("responses to other requests");
             }
             return;
         }
         boolean bounded = HttpUtil.isTransferEncodingChunked(response) || HttpUtil.isContentLengthSet(response)
                 || response.status().code() == 204 || response.status().code() == 304;
         if (!bounded) {
-            fail("an answer without an end");
+            fail("response without length or chunked encoding");
             return;
         }
         reusable = HttpUtil.isKeepAlive(response);
@@ -174,7 +174,7 @@
 
     private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure() || !inResponse) {
-            fail("not an answer in the protocol");
+            fail("malformed response");
             return;
         }
         if (!skipping && content.content().isReadable()) {
@@ -198,7 +198,7 @@
         done.complete();
     }
 
-    /** No request needs it now: it waits for the next one. */
+    /** Returns the connection to the server's idle connections for reuse. */
     void release(long nowMs) {
         if (server.listed()) {
             server.addIdleConnection(this, nowMs, nowMs + idleTimeoutMs);
@@ -226,7 +226,7 @@
         fail(String.valueOf(cause.getMessage()));
     }
 
-    /** Whether the body of an answer with that head is a series of events. */
+    /** Whether a response with this head is a {@code text/event-stream}. */
     static boolean isEventStream(HttpResponse response) {
         String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
         return type != null && type.startsWith("text/event-stream");
--- a/src/main/java/routerfleet/data/UpstreamRequest.java
+++ b/src/main/java/routerfleet/data/UpstreamRequest.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** A client's request as it goes to a server. */
+/** Builds the request that is sent to a server from the client's request. */
 final class UpstreamRequest {
     private static final int MAX_PRIORITY = 9;
     private static final int PRIORITY_LEVELS_PER_TENANT = 3;
@@ -17,11 +17,11 @@
     private UpstreamRequest() { }
 
     /**
-     * Method, target, body and the client's headers go on as they are, except for those of one connection and those that
-     * only the fleet may set.
+     * Copies method, target, body and headers of the client's request, except for hop-by-hop headers and headers that only
+     * the fleet may set.
      *
-     * @param lastEventId of a stream that is taken up again; negative where it begins
-     * @param remainingMs how long the server may take
+     * @param lastEventId id of the last event received of a stream that is resumed; negative if the stream begins
+     * @param remainingMs time until the request's deadline
      */
     static FullHttpRequest build(HttpRequest request, byte[] body, AdmittedRequest admitted, Server server,
             long lastEventId, long remainingMs) {
@@ -49,7 +49,7 @@
         return out;
     }
 
-    /** The tenant's priority comes before the route's. */
+    /** The value of the {@code Priority} header: the tenant's priority takes precedence over the route's. */
     private static int priority(AdmittedRequest admitted) {
         int ofTenant = admitted.tenant() == null ? 0 : admitted.tenant().priority() * PRIORITY_LEVELS_PER_TENANT;
         return Math.min(MAX_PRIORITY, ofTenant + admitted.route().priority());
--- a/src/main/java/routerfleet/data/WarmupRate.java
+++ b/src/main/java/routerfleet/data/WarmupRate.java
@@ -1,34 +1,36 @@
 package routerfleet.data;
 
 /**
- * How fast all data nodes together may send to one cold server, so that no second holds more requests than it bears.
+ * Computes how fast all data nodes together may send to one cold server, so that the number of requests in any second stays
+ * within a bound.
  *
- * <p>In each slice of {@value #SLICE_MS} ms, each node has one permission for the server by chance. What arrives in a
- * second is then at most a sum of independent trials, and its tail above mean + 1 lies below that of a Poisson variable
- * with the same mean (Hoeffding 1956; Anderson and Samuels 1967), for any number of nodes and any phases of their clocks.
- * The rate is the largest whose tail beyond the bound is below {@value #MAX_TAIL_PROBABILITY}.
+ * <p>In each slice of {@value #SLICE_MS} ms, each node has a permit for the server with a certain probability. The number
+ * of requests that arrive in a second is then at most a sum of independent trials, whose tail above mean + 1 is below that
+ * of a Poisson variable with the same mean (Hoeffding 1956; Anderson and Samuels 1967), for any number of nodes and any
+ * phases of their clocks. The rate is the largest for which the probability of exceeding the bound is below
+ * {@value #MAX_TAIL_PROBABILITY}.
  */
 final class WarmupRate {
     /** Length of a slice of time, in milliseconds. */
     static final long SLICE_MS = 100;
-    /** Of a second that holds more requests than the bound. */
+    /** Maximum probability that a second holds more requests than the bound. */
     static final double MAX_TAIL_PROBABILITY = 1e-7;
     /**
-     * By how much the number of nodes is taken for larger than it is known to be. A second touches eleven slices, not ten,
-     * which takes 10 % of it; the rest covers nodes that are not counted yet.
+     * Factor on the known number of nodes. A second overlaps eleven slices, not ten, which uses 10 % of it; the rest allows
+     * for nodes that are not counted yet.
      */
     static final double NODE_COUNT_MARGIN = 1.25;
     private static final int MS_PER_SECOND = 1_000;
-    /** A higher bound counts as this one, so that the search for the rate stays short. */
+    /** Higher bounds are clamped to this one, to limit the time of the search. */
     private static final int MAX_BOUND = 10_000;
     private static final int BISECTIONS = 60;
 
     private WarmupRate() { }
 
     /**
-     * The largest mean, in requests a second.
+     * The largest mean rate, in requests per second, that keeps to a bound.
      *
-     * @param maxPerSecond how many requests a second may hold
+     * @param maxPerSecond the maximum number of requests in any second
      */
     static double maxRate(double maxPerSecond) {
         int bound = (int) Math.min(MAX_BOUND, Math.floor(maxPerSecond));
@@ -45,7 +47,7 @@
         return low;
     }
 
-    /** The chance that a Poisson variable is larger than {@code most}. */
+    /** The probability that a Poisson variable is larger than {@code threshold}. */
     static double poissonTail(double mean, int threshold) {
         if (threshold < 0 || mean <= 0) {
             return threshold < 0 ? 1 : 0;
@@ -64,10 +66,10 @@
     }
 
     /**
-     * The chance of a permission for one node in one slice.
+     * The probability with which one node has a permit in one slice.
      *
-     * @param rate of all nodes together, in requests a second
-     * @param nodes how many nodes there are; 0 where that is not known, which leaves no chance
+     * @param rate of all nodes together, in requests per second
+     * @param nodes the number of nodes; 0 if it is not known, for which the probability is 0
      */
     static double permitProbability(double rate, int nodes) {
         return nodes <= 0 ? 0 : Math.min(1, rate * SLICE_MS / MS_PER_SECOND / (nodes * NODE_COUNT_MARGIN));
--- a/src/main/java/routerfleet/data/WarmupState.java
+++ b/src/main/java/routerfleet/data/WarmupState.java
@@ -1,13 +1,13 @@
 package routerfleet.data;
 
 /**
- * Until when a server counts as cold, on the steady clock in milliseconds. What its newest heartbeat says counts from the
- * first receipt, which is later than its sending, so time on the way makes it longer only.
+ * Tracks until when a server counts as cold, on the monotonic clock in milliseconds. The remaining time that a heartbeat
+ * reports is counted from its first receipt here, so network delay can only extend it.
  */
 final class WarmupState {
-    /** Added to what a server says: control nodes do not repeat what differs by less. */
+    /** Added to reported times, since control nodes do not pass on reports that differ by less. */
     private static final long REPORT_MARGIN_MS = 150;
-    /** A heartbeat that may have been under way as the server became doubtful proves nothing. */
+    /** A heartbeat received so soon after the server was assumed cold may have been sent before, and is no evidence. */
     private static final long HEARTBEAT_IN_FLIGHT_MS = 400;
 
     private long sequence = -1;
@@ -18,14 +18,15 @@
     private long assumedColdUntilMs;
 
     /**
-     * A control node tells of a heartbeat.
+     * Records a heartbeat that a control node reports.
      *
-     * @param remainingMs for how long the server said that it would be cold
-     * @param fresh whether it has just come to the control node: only such a one ends a doubt
-     * @return whether the server counts as cold now and did not before
+     * @param heartbeatSequence the heartbeat's sequence number
+     * @param remainingMs for how long the server will be cold according to the heartbeat
+     * @param fresh whether the control node has just received it; only then does it end the effect of {@link #assumeCold}
+     * @return whether the server has become cold by this call
      */
     boolean heartbeatReported(long heartbeatSequence, long remainingMs, boolean fresh, long nowMs) {
-        boolean before = isCold(nowMs);
+        boolean wasCold = isCold(nowMs);
         if (heartbeatSequence > sequence) {
             sequence = heartbeatSequence;
             receivedMs = nowMs;
@@ -40,22 +41,23 @@
         if (heartbeatSequence == sequence && remainingMs > 0) {
             coldByHeartbeatUntilMs = Math.max(coldByHeartbeatUntilMs, receivedMs + remainingMs + REPORT_MARGIN_MS);
         }
-        return !before && isCold(nowMs);
+        return !wasCold && isCold(nowMs);
     }
 
-    /** An answer of the server itself says how long it is cold. */
+    /** Records for how long the server will be cold according to one of its responses. */
     void responseReported(long remainingMs, long nowMs) {
         if (remainingMs > 0) {
             coldByResponseUntilMs = Math.max(coldByResponseUntilMs, nowMs + remainingMs + REPORT_MARGIN_MS);
         }
     }
 
-    /** It may have turned cold: it counts as such until a later heartbeat is told, or for that long. */
+    /** Assumes that the server may have become cold, until a later heartbeat is reported or for the given time. */
     void assumeCold(long durationMs, long nowMs) {
         assumedColdSinceMs = nowMs;
         assumedColdUntilMs = nowMs + durationMs;
     }
 
+    /** Whether the server counts as cold now. */
     boolean isCold(long nowMs) {
         return nowMs < coldByHeartbeatUntilMs || nowMs < coldByResponseUntilMs || nowMs < assumedColdUntilMs;
     }
--- a/src/test/java/routerfleet/data/ColdAdmissionTest.java
+++ b/src/test/java/routerfleet/data/ColdAdmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import routerfleet.wire.SessionRecord;
 
-/** What many nodes together send to cold servers. */
+/** Tests the requests that many nodes together send to cold servers. */
 class ColdAdmissionTest {
     private static final int MAX_PER_SECOND = 38;
     private static final long SIMULATED_MS = 30_000;
@@ -26,21 +26,24 @@
         return server;
     }
 
-    /** The most in any second that begins with one of these. */
+    /** The maximum number of these times in any interval of one second. */
     private static int maxInOneSecond(List<Long> timesMicros) {
         Collections.sort(timesMicros);
-        int most = 0;
+        int max = 0;
         int first = 0;
         for (int i = 0; i < timesMicros.size(); i++) {
             while (timesMicros.get(i) - timesMicros.get(first) >= 1_000_000) {
                 first++;
             }
-            most = Math.max(most, i - first + 1);
+            max = Math.max(max, i - first + 1);
         }
-        return most;
+        return max;
     }
 
-    /** The times, in microseconds, at which nodes send that always have a request; each node's clock has its own phase. */
+    /**
+     * The times, in microseconds, at which nodes send to a cold server if they always have a request. Each node's clock has
+     * its own phase.
+     */
     private static List<Long> sends(int nodes, double rate, SplittableRandom random) {
         List<Long> times = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
@@ -50,10 +53,10 @@
             Server server = cold(phase);
             for (long now = phase; now < SIMULATED_MS; now += 5 + random.nextInt(20)) {
                 if (admission.permits(server, now)) {
-                    long claimed = admission.acquirePermit(server, now);
-                    assertThat("one a slice", admission.permits(server, now), is(false));
+                    long permitSlice = admission.acquirePermit(server, now);
+                    assertThat("one permit per slice", admission.permits(server, now), is(false));
                     long sent = now + (random.nextInt(4) == 0 ? random.nextInt(MAX_CONNECT_MS) : 0);
-                    if (admission.maySend(server, claimed, sent)) {
+                    if (admission.maySend(server, permitSlice, sent)) {
                         times.add((sent - phase) * 1_000 + random.nextInt(1_000));
                     }
                 }
@@ -62,20 +65,20 @@
         return times;
     }
 
-    /** Guards FAILBACK: whatever number of nodes with requests all the time, no second holds more than the bound. */
+    /** Guards against overloading cold servers: for any number of busy nodes, each second stays within the bound. */
     @Test
     void requestsPerSecondToAColdServerStayWithinTheBound() {
         SplittableRandom random = new SplittableRandom(62);
         for (int nodes = 1; nodes <= 400; nodes += nodes < 20 ? 1 : 19) {
-            for (double most : new double[] {8, 18, MAX_PER_SECOND, 80}) {
-                List<Long> times = sends(nodes, WarmupRate.maxRate(most), random);
-                assertThat(nodes + " nodes, " + most + " a second", (double) maxInOneSecond(times),
-                        is(lessThanOrEqualTo(most)));
+            for (double bound : new double[] {8, 18, MAX_PER_SECOND, 80}) {
+                List<Long> times = sends(nodes, WarmupRate.maxRate(bound), random);
+                assertThat(nodes + " nodes, " + bound + " per second", (double) maxInOneSecond(times),
+                        is(lessThanOrEqualTo(bound)));
             }
         }
     }
 
-    /** Guards worth: permissions of many nodes add up to most of the rate. */
+    /** Guards against leaving cold servers idle: the permits of many nodes add up to most of the rate. */
     @Test
     void permitsAddUpToMostOfTheRate() {
         double rate = WarmupRate.maxRate(MAX_PER_SECOND);
@@ -88,27 +91,27 @@
         ColdAdmission admission = new ColdAdmission(1);
         admission.permitProbability(1);
         Server server = cold(0);
-        long claimed = admission.acquirePermit(server, 100);
-        assertThat(admission.maySend(server, claimed, 199), is(true));
+        long permitSlice = admission.acquirePermit(server, 100);
+        assertThat(admission.maySend(server, permitSlice, 199), is(true));
         admission.permitProbability(0);
-        assertThat("sent too late", admission.maySend(server, claimed, 200), is(false));
+        assertThat("sent too late", admission.maySend(server, permitSlice, 200), is(false));
         admission.permitProbability(ColdAdmission.UNLIMITED);
-        assertThat("no bound is told", admission.maySend(server, ColdAdmission.NO_PERMIT, 200), is(true));
+        assertThat("unlimited", admission.maySend(server, ColdAdmission.NO_PERMIT, 200), is(true));
     }
 
-    /** Guards requests under way: their server turned cold while its connection came up. */
+    /** Guards against requests without a permit whose server becomes cold while the connection is established. */
     @Test
     void aServerThatTurnsColdBeforeTheSendNeedsAPermit() {
         ColdAdmission admission = new ColdAdmission(1);
         admission.permitProbability(0);
         Server server = cold(0);
         Server warm = new Server(new SessionRecord("t", "llm", "127.0.0.1:1001", "a", 12, SessionRecord.Phase.READY, 1, 0));
-        long claimed = admission.acquirePermit(warm, 10);
+        long permitSlice = admission.acquirePermit(warm, 10);
         warm.warmupState().heartbeatReported(2, 3_000, true, 12);
-        assertThat(admission.maySend(warm, claimed, 15), is(false));
+        assertThat(admission.maySend(warm, permitSlice, 15), is(false));
         admission.permitProbability(1);
-        assertThat(admission.maySend(warm, claimed, 115), is(true));
-        assertThat("once", admission.maySend(warm, claimed, 116), is(false));
+        assertThat(admission.maySend(warm, permitSlice, 115), is(true));
+        assertThat("once", admission.maySend(warm, permitSlice, 116), is(false));
         assertThat(admission.permits(server, 120), is(true));
     }
 }
--- a/src/test/java/routerfleet/data/ControlClientProbe.java
+++ b/src/test/java/routerfleet/data/ControlClientProbe.java
@@ -7,7 +7,7 @@
 import routerfleet.wire.PeerNetwork;
 import routerfleet.wire.Scheduler;
 
-/** What a data node knows from the control nodes, without clients and servers: for simulations of the control plane. */
+/** A data node's control client and server registry, without clients and servers, for simulations of the control plane. */
 public final class ControlClientProbe {
     private static final long CLEANUP_INTERVAL_MS = 1_000;
 
@@ -15,7 +15,7 @@
     private final ControlClient client;
     private long generation;
 
-    /** Begins; to be called on the scheduler's thread. */
+    /** Creates and starts the control client; to be called on the scheduler's thread. */
     public ControlClientProbe(LocalSettings settings, Scheduler scheduler, PeerNetwork network, PeerCodec codec) {
         registry = new ServerRegistry(1, scheduler::nanoTime, settings.zone());
         client = new ControlClient(scheduler, network, settings, registry, codec, new ConfigurationListener());
@@ -23,17 +23,17 @@
         scheduler.every(CLEANUP_INTERVAL_MS, registry::removeStale);
     }
 
-    /** The newest configuration's number; 0 for none. */
+    /** The generation of the newest configuration received; 0 for none. */
     public long generation() {
         return generation;
     }
 
-    /** Whether a data node would serve by its configuration, as far as that depends on control nodes. */
+    /** Whether a data node would serve requests with its configuration, as far as that depends on control nodes. */
     public boolean mayServe() {
         return generation > 0 && client.hasBeenFresh();
     }
 
-    /** For how long the configuration has not been known to be the newest, in milliseconds. */
+    /** Time since the configuration was last known to be the newest, in milliseconds. */
     public long staleMs() {
         return client.staleMs();
     }
@@ -48,6 +48,7 @@
         return false;
     }
 
+    /** Records the newest generation. */
     private final class ConfigurationListener implements ControlClient.Listener {
         @Override
         public void configuration(FleetConfiguration configuration) {
@@ -56,17 +57,17 @@
 
         @Override
         public void dataNodes(int present, boolean warming) {
-            // of no interest here
+            // not needed here
         }
 
         @Override
         public void quotaAnswered(PeerMessage.QuotaAnswer answer) {
-            // no limits are asked for
+            // quotas are not used
         }
 
         @Override
         public void disconnected(String controlNode) {
-            // no limits are asked for
+            // quotas are not used
         }
     }
 }
--- a/src/test/java/routerfleet/data/EmulatedEngine.java
+++ b/src/test/java/routerfleet/data/EmulatedEngine.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 
 /**
- * A language model server that batches requests continuously, in virtual time: each step gives every running request a
- * token and reads at most one piece of waiting prompts, so that a long prompt slows down what runs beside it. Shared parts
- * that were read are kept while there is room.
+ * Emulates a language model server with continuous batching, in virtual time. Each step generates a token for every running
+ * request and processes at most one chunk of the waiting prompts (chunked prefill), so a long prompt slows down concurrent
+ * requests. Shared prompt prefixes are cached, with the least recently used evicted first.
  */
 final class EmulatedEngine {
-    /** What an engine can do. Times in milliseconds. */
-    record Capability(int slots, int queue, double stepMs, double stepMsPerRequest, double tokensPerMs, int prefillChunkTokens,
-            double memoryTokens, double responseDelayMs, int tokensPerEvent) {
+    /** Performance of an engine: numbers of requests, times in milliseconds, and tokens. */
+    record Capability(int slots, int queue, double stepMs, double stepMsPerRequest, double tokensPerMs,
+            int prefillChunkTokens, double memoryTokens, double responseDelayMs, int tokensPerEvent) {
         static final Capability SMALL_BATCH = new Capability(16, 48, 2.6, 0.12, 48.2, 2_048, 390_928, 14, 10);
     }
 
-    /** A request at an engine, and what comes of it. */
+    /** A request at an engine and its progress. */
     static final class Job {
         final long prefix;
         final double sharedTokens;
@@ -29,15 +29,15 @@
         private double unreadTokens;
         private int generatedTokens;
         private boolean prefixWasCached;
-        private final JobListener receiver;
+        private final JobListener listener;
 
-        /** @param prefix the shared beginning; 0 for none */
-        Job(long prefix, double sharedTokens, double ownTokens, int outputTokens, JobListener receiver) {
+        /** @param prefix identifies the shared prefix; 0 for none */
+        Job(long prefix, double sharedTokens, double ownTokens, int outputTokens, JobListener listener) {
             this.prefix = prefix;
             this.sharedTokens = sharedTokens;
             this.ownTokens = ownTokens;
             this.outputTokens = outputTokens;
-            this.receiver = receiver;
+            this.listener = listener;
         }
 
         private double size() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Hears of a request. */
+    /** Receives the progress of a request. */
     interface JobListener {
         void firstEvent();
 
@@ -54,7 +54,7 @@
         void failed();
     }
 
-    /** Virtual time. */
+    /** Schedules tasks in virtual time. */
     interface Clock {
         void after(double ms, Runnable task);
     }
@@ -69,7 +69,7 @@
     private boolean stepping;
     private int arrivals;
     private double tokensRead;
-    /** How much longer each step takes. */
+    /** Factor on the duration of each step. */
     private double slowness = 1;
     private boolean failing;
 
@@ -83,7 +83,7 @@
         slowness = changed;
     }
 
-    /** From now on it fails all that comes, or no more. */
+    /** Sets whether all new requests fail. */
     void failing(boolean fails) {
         failing = fails;
     }
@@ -96,10 +96,11 @@
         return tokensRead;
     }
 
+    /** Queues a request, or fails it if the engine is failing or its queue is full. */
     void submit(Job job) {
         arrivals++;
         if (failing || running.size() + queue.size() >= capability.slots() + capability.queue()) {
-            clock.after(1, job.receiver::failed);
+            clock.after(1, job.listener::failed);
             return;
         }
         queue.add(job);
@@ -115,8 +116,9 @@
             stepping = false;
             return;
         }
-        double read = prefillChunk();
-        double ms = capability.stepMs() + capability.stepMsPerRequest() * running.size() + read / capability.tokensPerMs();
+        double prefilled = prefillChunk();
+        double ms = capability.stepMs() + capability.stepMsPerRequest() * running.size()
+                + prefilled / capability.tokensPerMs();
         clock.after(ms * slowness, () -> {
             List.copyOf(running).forEach(this::generateToken);
             step();
@@ -124,28 +126,28 @@
     }
 
     private void admit() {
-        double held = running.stream().mapToDouble(Job::size).sum();
+        double usedTokens = running.stream().mapToDouble(Job::size).sum();
         while (running.size() < capability.slots() && !queue.isEmpty()) {
-            if (held + queue.peek().size() > capability.memoryTokens() && !running.isEmpty()) {
+            if (usedTokens + queue.peek().size() > capability.memoryTokens() && !running.isEmpty()) {
                 return;
             }
             Job job = queue.poll();
             job.prefixWasCached = job.prefix != 0 && prefixCache.get(job.prefix) != null;
             job.unreadTokens = job.ownTokens + (job.prefixWasCached ? 0 : job.sharedTokens);
             tokensRead += job.unreadTokens;
-            held += job.size();
+            usedTokens += job.size();
             running.add(job);
         }
     }
 
     private double prefillChunk() {
-        double left = capability.prefillChunkTokens();
+        double remaining = capability.prefillChunkTokens();
         for (Job job : running) {
-            double read = Math.min(left, job.unreadTokens);
-            job.unreadTokens -= read;
-            left -= read;
+            double prefilled = Math.min(remaining, job.unreadTokens);
+            job.unreadTokens -= prefilled;
+            remaining -= prefilled;
         }
-        return capability.prefillChunkTokens() - left;
+        return capability.prefillChunkTokens() - remaining;
     }
 
     private void generateToken(Job job) {
@@ -157,11 +159,11 @@
         }
         job.generatedTokens++;
         if (job.generatedTokens == Math.min(capability.tokensPerEvent(), job.outputTokens)) {
-            clock.after(capability.responseDelayMs(), job.receiver::firstEvent);
+            clock.after(capability.responseDelayMs(), job.listener::firstEvent);
         }
         if (job.generatedTokens >= job.outputTokens) {
             running.remove(job);
-            clock.after(capability.responseDelayMs(), job.receiver::finished);
+            clock.after(capability.responseDelayMs(), job.listener::finished);
         }
     }
 
--- a/src/test/java/routerfleet/data/ErrorResponseTest.java
+++ b/src/test/java/routerfleet/data/ErrorResponseTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a refused client is told to come back. */
+/** Tests the format of Retry-After values. */
 class ErrorResponseTest {
     @Test
     void secondsHaveThreeDecimals() {
--- a/src/test/java/routerfleet/data/EventStreamParserTest.java
+++ b/src/test/java/routerfleet/data/EventStreamParserTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Events cut out of a stream of bytes. */
+/** Tests the splitting of a byte stream into events. */
 class EventStreamParserTest {
     private static final String TEXT =
             "id: 4\ndata: a\n\nid:5\r\ndata: b\r\n\r\nversions: 3\nid: 6\ndata: c\n\ndata: d\n\nid: 9";
@@ -36,8 +36,8 @@
     @Test
     void rejectsAnEventThatIsTooLong() {
         EventStreamParser parser = new EventStreamParser();
-        byte[] piece = new byte[600_000];
-        assertThat(parser.feed(Unpooled.wrappedBuffer(piece), (event, id) -> { }), is(true));
-        assertThat(parser.feed(Unpooled.wrappedBuffer(piece), (event, id) -> { }), is(false));
+        byte[] chunk = new byte[600_000];
+        assertThat(parser.feed(Unpooled.wrappedBuffer(chunk), (event, id) -> { }), is(true));
+        assertThat(parser.feed(Unpooled.wrappedBuffer(chunk), (event, id) -> { }), is(false));
     }
 }
--- a/src/test/java/routerfleet/data/FleetSizeTest.java
+++ b/src/test/java/routerfleet/data/FleetSizeTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** By how many data nodes common allowances are divided. */
+/** Tests the number of data nodes by which common limits are divided. */
 class FleetSizeTest {
     private final FleetSize size = new FleetSize();
 
-    /** Guards what all share: while a control node that has just started counts them one by one, it is not believed. */
+    /** Guards common limits: a control node that has just started reports too few data nodes until all have polled it. */
     @Test
     void countsOfAStartingControlNodeAreIgnored() {
         size.countReported(1, true, 1_000);
@@ -20,7 +20,7 @@
         assertThat(size.latest(), is(66));
     }
 
-    /** Guards the same where a control node is cut off from most data nodes: the others still use their parts. */
+    /** Guards common limits when a control node is partitioned from most data nodes, which still use their shares. */
     @Test
     void aSmallerCountAppliesOnlyAfterTheRetentionTime() {
         size.countReported(66, false, 1_000);
--- a/src/test/java/routerfleet/data/IdleReuseLimitTest.java
+++ b/src/test/java/routerfleet/data/IdleReuseLimitTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When connections that have rested are no longer used. */
+/** Tests when idle connections are no longer reused. */
 class IdleReuseLimitTest {
     private final IdleReuseLimit limit = new IdleReuseLimit();
 
--- a/src/test/java/routerfleet/data/QuotaClientTest.java
+++ b/src/test/java/routerfleet/data/QuotaClientTest.java
@@ -16,10 +16,10 @@
 import routerfleet.wire.PeerMessage;
 import routerfleet.wire.QuotaDivision;
 
-/** Tenants' limits over all nodes, with the control nodes' real grantors in virtual time. */
+/** Tests tenants' limits over all nodes, with the control nodes' real grantors, in virtual time. */
 class QuotaClientTest {
     private static final double RATE = QuotaSimulation.RATE;
-    /** The rule: (rate * window + burst) * (1 + overshoot) + slack. */
+    /** The maximum allowed in a window: (rate * window + burst) * (1 + overshoot) + slack. */
     private static final double MAX_IN_WINDOW = (RATE * 8 + RATE) * 1.1 + 40_000;
     private static final long SIMULATED_MS = 40_000;
     private static final int SEEDS = 12;
@@ -83,14 +83,15 @@
 
     @Test
     void onlyTheReservesAreUsedWhenAllControlNodesAreUnresponsive() {
-        QuotaSimulation.Result result = new QuotaSimulation(1, 3, 6, Fault.ALL_SILENT).simulate(SIMULATED_MS, RATE, SMALL_COST, 0);
+        QuotaSimulation.Result result = new QuotaSimulation(1, 3, 6, Fault.ALL_SILENT)
+                .simulate(SIMULATED_MS, RATE, SMALL_COST, 0);
         double slack = 40_000 + 0.1 * 9 * RATE;
         assertThat(result.maxInWindow(), is(lessThanOrEqualTo(0.35 * slack)));
         assertThat(result.admittedShare(), is(greaterThan(0.05)));
         assertThat(result.admittedShare(), is(lessThan(0.35 * slack / 8 / RATE + 0.01)));
     }
 
-    /** Keeps what is sent, and answers nothing by itself. */
+    /** Records messages and scheduled tasks; the test answers and runs them. */
     private static final class RecordingTransport implements QuotaClient.Transport {
         private final List<PeerMessage.QuotaAsk> sent = new ArrayList<>();
         private final List<Runnable> scheduled = new ArrayList<>();
@@ -130,7 +131,7 @@
         assertThat(outcomes, is(List.of(QuotaClient.Outcome.ADMITTED)));
         transport.nowMs += 1_000;
         client.admit(QuotaSimulation.TENANT, 5, admission -> outcomes.add(admission.outcome()));
-        assertThat("what is kept expires", transport.sent.size(), is(2));
+        assertThat("an unused grant expires", transport.sent.size(), is(2));
     }
 
     private static void denyTwice(QuotaClient client, RecordingTransport transport, double available) {
@@ -151,9 +152,9 @@
         client.answered(PeerMessage.QuotaAnswer.denied(transport.sent.get(1).id(), 300, 50, FAIR_LEVEL));
         assertThat(admissions, is(List.of(new QuotaClient.Admission(QuotaClient.Outcome.DENIED, 300))));
         client.admit(QuotaSimulation.TENANT, 4_100, admissions::add);
-        assertThat("denied anew without a question", transport.sent.size(), is(2));
+        assertThat("denied again without a quota request", transport.sent.size(), is(2));
         client.admit(QuotaSimulation.TENANT, 50, admissions::add);
-        assertThat("a smaller one is asked for", transport.sent.size(), is(3));
+        assertThat("a smaller amount is requested", transport.sent.size(), is(3));
     }
 
     @Test
@@ -167,7 +168,7 @@
         assertThat("20 of 80 are missing, at 10,000 a second", admissions,
                 is(List.of(new QuotaClient.Admission(QuotaClient.Outcome.DENIED, 2))));
         client.admit(QuotaSimulation.TENANT, 5, admissions::add);
-        assertThat("denied without a question", transport.sent.size(), is(2));
+        assertThat("denied without a quota request", transport.sent.size(), is(2));
     }
 
     @Test
@@ -175,8 +176,8 @@
         double small = 0;
         double large = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            QuotaSimulation.MixedResult mixed = new QuotaSimulation(seed, 3, 6, Fault.NONE).simulateMixed(SIMULATED_MS, 4 * RATE, 400,
-                    LARGE_COST);
+            QuotaSimulation.MixedResult mixed = new QuotaSimulation(seed, 3, 6, Fault.NONE)
+                    .simulateMixed(SIMULATED_MS, 4 * RATE, 400, LARGE_COST);
             small += mixed.smallAdmittedShare() / SEEDS;
             large += mixed.largeAdmittedShare() / SEEDS;
         }
@@ -215,7 +216,7 @@
         assertThat(outcomes, is(List.of(QuotaClient.Outcome.ADMITTED)));
     }
 
-    /** Guards requests while control nodes are slow: the answer of one that was passed over counts as soon as it comes. */
+    /** Guards requests while control nodes are slow: a grant that arrives after its timeout still admits the request. */
     @Test
     void aLateGrantAdmitsTheWaitingRequest() {
         RecordingTransport transport = new RecordingTransport();
@@ -229,11 +230,11 @@
         client.answered(PeerMessage.QuotaAnswer.granted(transport.sent.get(1).id()));
         assertThat("once", outcomes.size(), is(1));
         client.admit(QuotaSimulation.TENANT, 100, admission -> outcomes.add(admission.outcome()));
-        assertThat("the second grant is kept for the next one", transport.sent.size(), is(2));
+        assertThat("the second grant is kept for the next request", transport.sent.size(), is(2));
         assertThat(outcomes.size(), is(2));
     }
 
-    /** Guards the reserves together: a node that does not know how many share them has none. */
+    /** Guards the sum of all reserves: a node that does not know how many nodes share them has no reserve. */
     @Test
     void thereIsNoReserveBeforeTheFleetSizeIsKnown() {
         RecordingTransport transport = new RecordingTransport();
@@ -262,7 +263,7 @@
         }
     }
 
-    /** Guards tenants on both sides of a partition: the reserve stands in for parts that are out of reach. */
+    /** Guards tenants on both sides of a partition: the reserve replaces the shares of unreachable holders. */
     @Test
     void theReserveIsUsedWhenAHolderIsUnreachableAndTheOthersDeny() {
         RecordingTransport transport = new RecordingTransport();
@@ -281,7 +282,7 @@
                 is(List.of(QuotaClient.Outcome.ADMITTED, QuotaClient.Outcome.DENIED)));
     }
 
-    /** Guards requests on a side that is cut off against the time that silent holders would take of each. */
+    /** Guards requests during a partition: each would otherwise wait for the timeouts of the unreachable holders. */
     @Test
     void requestsDoNotWaitForHoldersKnownToBeUnresponsive() {
         RecordingTransport transport = new RecordingTransport();
@@ -300,7 +301,7 @@
         assertThat(transport.sent.size(), is(4));
         transport.nowMs += 400;
         client.admit(QuotaSimulation.TENANT, 10, admission -> outcomes.add(admission.outcome()));
-        assertThat("asked again after a while", transport.sent.size(), is(5));
+        assertThat("asked again after the suspect time", transport.sent.size(), is(5));
         client.answered(PeerMessage.QuotaAnswer.granted(transport.sent.get(4).id()));
         assertThat(outcomes.size(), is(4));
     }
--- a/src/test/java/routerfleet/data/QuotaSimulation.java
+++ b/src/test/java/routerfleet/data/QuotaSimulation.java
@@ -13,26 +13,33 @@
 import routerfleet.settings.Bounds;
 import routerfleet.wire.PeerMessage;
 
-/** Data nodes that ask control nodes for one tenant's limit, in virtual time, with delays, crashes and silence. */
+/** Simulates data nodes' quota requests for one tenant, with delays, crashes and unresponsive nodes, in virtual time. */
 final class QuotaSimulation {
-    /** Limit a second, with slack and sizes of requests in the proportions of a small tenant of a large deployment. */
+    /** Limit per second. Slack and request costs are proportioned as for a small tenant of a large deployment. */
     static final double RATE = 10_000;
     static final Bounds BOUNDS = new Bounds(null, null, null, null, null, null, null, null, null, null, null, null, 8.0,
             0.1, 40_000.0, null, null, null, null);
     static final TenantConfig TENANT = new TenantConfig("one", List.of("k"), 0, "token_count", 100, RATE, RATE);
     private static final long WINDOW_MS = 8_000;
 
-    /** What control nodes do to the questions that reach them. */
+    /** Faults of the control nodes. */
     enum Fault { NONE, CRASHES, SILENCE, ALL_SILENT, GRANTS_EVERYTHING }
 
+    /** A scheduled task. @param number orders tasks of the same time */
     private record Event(long atMs, long number, Runnable task) { }
 
+    /** An amount that was admitted at a time. */
     private record AdmittedAmount(long atMs, double amount) { }
 
-    /** @param maxInWindow most that was admitted in any window; @param admittedShare of what was asked */
+    /**
+     * The result of a run.
+     *
+     * @param maxInWindow the maximum amount admitted in any window
+     * @param admittedShare the admitted fraction of the requested amount
+     */
     record Result(double maxInWindow, double admittedShare) { }
 
-    /** Which part of the small and of the large requests was admitted. */
+    /** The fractions of the small and of the large requests that were admitted. */
     record MixedResult(double smallAdmittedShare, double largeAdmittedShare) { }
 
     private final Random random;
@@ -68,7 +75,7 @@
         }
     }
 
-    /** A fleet of so many data nodes, as each of them knows it. */
+    /** The fleet size as known to each of so many data nodes. */
     static FleetSize fleetSizeOf(int dataNodes) {
         FleetSize size = new FleetSize();
         size.countReported(dataNodes, false, 0);
@@ -85,6 +92,7 @@
         events.add(new Event(nowMs + delayMs, ++lastEvent, task));
     }
 
+    /** Delivers a data node's messages to the grantors, with random delays and the simulated fault. */
     private final class SimulatedTransport implements QuotaClient.Transport {
         private final int node;
 
@@ -125,11 +133,11 @@
     }
 
     /**
-     * Plays requests at random times.
+     * Simulates requests at random times.
      *
-     * @param requestedPerS what all clients ask for, in the tenant's unit
-     * @param cost mean size of a request; sizes lie between a tenth of it and nearly twice as much
-     * @param hotShare part of the requests that reach one node, another one every 3 s
+     * @param requestedPerS amount that all clients request per second, in the tenant's unit
+     * @param cost mean cost of a request; costs are between a tenth of it and nearly twice as much
+     * @param hotShare fraction of the requests that go to one node, a different one every 3 s
      */
     Result simulate(long durationMs, double requestedPerS, double cost, double hotShare) {
         if (fault == Fault.CRASHES || fault == Fault.SILENCE) {
@@ -140,23 +148,23 @@
         return new Result(maxWindowTotal, admitted / requested);
     }
 
-    /** Plays large requests, and twenty small ones for each of them. */
+    /** Simulates large requests, and twenty small ones for each of them. */
     MixedResult simulateMixed(long durationMs, double requestedPerS, double small, double large) {
         long everyMs = Math.max(1, (long) ((20 * small + large) / requestedPerS * 1_000 / 21));
-        int[] asks = new int[2];
-        int[] admits = new int[2];
+        int[] requests = new int[2];
+        int[] admissions = new int[2];
         for (long ms = 0; ms < durationMs; ms += everyMs) {
             int kind = random.nextInt(21) == 0 ? 1 : 0;
             scheduleEvent(ms, () -> {
-                asks[kind]++;
+                requests[kind]++;
                 clients.get(random.nextInt(dataNodes)).admit(TENANT, kind == 1 ? large : small, admission -> {
-                    admits[kind] += admission.outcome() == QuotaClient.Outcome.ADMITTED ? 1 : 0;
+                    admissions[kind] += admission.outcome() == QuotaClient.Outcome.ADMITTED ? 1 : 0;
                     return true;
                 });
             });
         }
         runEvents(durationMs);
-        return new MixedResult((double) admits[0] / asks[0], (double) admits[1] / asks[1]);
+        return new MixedResult((double) admissions[0] / requests[0], (double) admissions[1] / requests[1]);
     }
 
     private void runEvents(long durationMs) {
@@ -184,7 +192,7 @@
         double amount = cost * (0.1 + 1.8 * random.nextDouble());
         long sentMs = nowMs;
         if (nowMs > WINDOW_MS) {
-            requested += amount; // after the buckets have filled
+            requested += amount; // counted only after the token buckets have filled
         }
         client.admit(TENANT, amount, admission -> {
             if (admission.outcome() == QuotaClient.Outcome.ADMITTED) {
--- a/src/test/java/routerfleet/data/RoutingTableTest.java
+++ b/src/test/java/routerfleet/data/RoutingTableTest.java
@@ -11,7 +11,7 @@
 import routerfleet.config.RouteConfig;
 import routerfleet.config.RouteConfig.WeightedBackend;
 
-/** Which route, service and tenant a request finds. */
+/** Tests the lookup of routes and the weighted choice of backends. */
 class RoutingTableTest {
     private static RouteConfig route(String name, String prefix, List<WeightedBackend> split) {
         return new RouteConfig(name, "Fleet.example", prefix, "safe", 100, 10, 0, "b", split, 1, true, false, false, 0);
--- a/src/test/java/routerfleet/data/ServerChoiceSimulation.java
+++ b/src/test/java/routerfleet/data/ServerChoiceSimulation.java
@@ -9,8 +9,8 @@
 import routerfleet.wire.SessionRecord;
 
 /**
- * Many nodes, each with the real choice and its own outcomes only, before emulated engines in virtual time. Short prompts
- * come all the time, long ones with shared parts where asked for.
+ * Simulates many data nodes in front of emulated engines in virtual time. Each node runs the real {@link ServerPool} and
+ * learns only from its own requests. Short prompts arrive at a constant rate; long prompts with shared prefixes optionally.
  */
 final class ServerChoiceSimulation {
     static final long SHORT_TARGET_LATENCY_MS = 400;
@@ -24,17 +24,24 @@
     private static final double LOG_NORMAL_SIGMA = 1;
     private static final double MAX_MEAN_MULTIPLE = 8;
 
-    /** @param shortsPerS, longsPerS requests a second over all nodes; @param prefixes how many shared parts there are */
+    /**
+     * The simulated deployment and its load.
+     *
+     * @param shortsPerS short requests per second, all nodes together
+     * @param longsPerS long requests per second, all nodes together
+     * @param prefixes number of different shared prefixes
+     */
     record Deployment(int nodes, int engines, int zones, double shortsPerS, double longsPerS, int prefixes) { }
 
+    /** A scheduled task. @param number orders tasks of the same time */
     private record Event(double atMs, long number, Runnable task) { }
 
-    /** A node, and the servers as it knows them. */
+    /** A data node with its server pool. */
     final class Node {
         final ServerPool pool;
         final Map<Server, EmulatedEngine> engineOf = new HashMap<>();
         final Map<EmulatedEngine, Server> serverOf = new HashMap<>();
-        /** Answers and failures that this node has had, of all servers. */
+        /** Number of responses and failures of all servers that this node has seen. */
         int outcomes;
 
         Node(String zone) {
@@ -103,7 +110,7 @@
         nowMs = ms;
     }
 
-    /** Forgets what has been counted so far. */
+    /** Resets the counts of requests, for instance after the warm-up time. */
     void resetCounts() {
         shortCount = 0;
         shortsOnTarget = 0;
@@ -111,11 +118,12 @@
         longsOnTarget = 0;
     }
 
-    /** The part of short requests that had their first event within the objective. */
+    /** The fraction of short requests whose first event came within the target latency. */
     double shortsOnTarget() {
         return (double) shortsOnTarget / Math.max(1, shortCount);
     }
 
+    /** The fraction of long requests whose first event came within the target latency. */
     double longsOnTarget() {
         return (double) longsOnTarget / Math.max(1, longCount);
     }
@@ -131,7 +139,8 @@
 
     private double logNormal(double mean) {
         double gauss = Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
-        return Math.min(MAX_MEAN_MULTIPLE * mean, mean * Math.exp(LOG_NORMAL_SIGMA * gauss - LOG_NORMAL_SIGMA * LOG_NORMAL_SIGMA / 2));
+        return Math.min(MAX_MEAN_MULTIPLE * mean,
+                mean * Math.exp(LOG_NORMAL_SIGMA * gauss - LOG_NORMAL_SIGMA * LOG_NORMAL_SIGMA / 2));
     }
 
     private void shortRequest() {
@@ -142,11 +151,12 @@
     private void longRequest() {
         long prefix = 1 + random.nextInt(deployment.prefixes());
         double shared = SHARED_TOKENS * (0.5 + (prefix % 11) / 10.0);
-        send(new PromptProfile("long", new PromptPrefix(prefix, (long) shared, (long) (shared + OWN_TOKENS)), LONG_TARGET_LATENCY_MS),
+        send(new PromptProfile("long", new PromptPrefix(prefix, (long) shared, (long) (shared + OWN_TOKENS)),
+                        LONG_TARGET_LATENCY_MS),
                 prefix, shared, logNormal(OWN_TOKENS), (int) Math.ceil(logNormal(LONG_OUTPUT_TOKENS)));
     }
 
-    private void send(PromptProfile profile, long prefix, double shared, double own, int tokensOut) {
+    private void send(PromptProfile profile, long prefix, double shared, double own, int outputTokens) {
         Node node = nodes.get(random.nextInt(nodes.size()));
         int limit = Math.max(4, (int) Math.ceil(2.0 * EmulatedEngine.Capability.SMALL_BATCH.slots() / nodes.size()));
         Server server = node.pool.choose(profile, limit, List.of(), (long) nowMs);
@@ -155,7 +165,7 @@
             return;
         }
         server.requestSent((long) nowMs);
-        node.engineOf.get(server).submit(new EmulatedEngine.Job(prefix, shared, own, tokensOut,
+        node.engineOf.get(server).submit(new EmulatedEngine.Job(prefix, shared, own, outputTokens,
                 new Outcome(node, server, profile, nowMs)));
     }
 
@@ -169,7 +179,7 @@
         }
     }
 
-    /** What a node learns of one request. */
+    /** Passes the outcome of one request to its node. */
     private final class Outcome implements EmulatedEngine.JobListener {
         private final Node node;
         private final Server server;
--- a/src/test/java/routerfleet/data/ServerChoiceSimulationTest.java
+++ b/src/test/java/routerfleet/data/ServerChoiceSimulationTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the choice among servers comes to on deployments of all sizes, in virtual time. */
+/** Tests the choice of servers on simulated deployments of all sizes, in virtual time. */
 class ServerChoiceSimulationTest {
     private static final double WARM_UP_MS = 4_000;
     private static final double END_MS = 12_000;
-    /** Short requests that an engine takes a second at two fifths of its slots, each of some 200 ms. */
+    /** Short requests per second, of some 200 ms each, that occupy two fifths of an engine's slots. */
     private static final double SHORTS_PER_ENGINE_PER_S = 30;
     private static final int MAX_SHORTS_PER_S = 1_500;
-    /** Busiest server against the mean; chance alone, by three standard deviations, comes on top. */
+    /** Maximum load of the busiest server relative to the mean; three standard deviations of random variation are added. */
     private static final double SPREAD_BOUND = 2;
     private static final int MAX_PROBES_PER_NODE = 8;
     private static final double FAILURE_DURATION_MS = 5_000;
@@ -43,34 +43,35 @@
         simulation.resetCounts();
         simulation.runUntil(END_MS);
         double mean = simulation.engines.stream().mapToInt(EmulatedEngine::arrivals).average().orElse(0);
-        int most = simulation.engines.stream().mapToInt(EmulatedEngine::arrivals).max().orElse(0);
-        assertThat(deployment.toString(), (double) most, is(lessThan(SPREAD_BOUND * mean + 3 * Math.sqrt(mean) + 1)));
+        int max = simulation.engines.stream().mapToInt(EmulatedEngine::arrivals).max().orElse(0);
+        assertThat(deployment.toString(), (double) max, is(lessThan(SPREAD_BOUND * mean + 3 * Math.sqrt(mean) + 1)));
         assertThat(deployment.toString(), simulation.shortsOnTarget(), is(greaterThan(0.985)));
     }
 
-    /** A server that fails is found out within a few of each node's own requests, and used again once it is well. */
+    /** Each node detects a failing server after a few of its own requests, and uses it again once it has recovered. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16})
     void aFailingServerIsAvoidedAndUsedAgainAfterRecovery(long seed) {
         ServerChoiceSimulation.Deployment deployment = draw(seed);
         ServerChoiceSimulation simulation = new ServerChoiceSimulation(deployment, seed);
         simulation.runUntil(WARM_UP_MS);
-        EmulatedEngine bad = simulation.engines.get(0);
-        int before = bad.arrivals();
-        bad.failing(true);
+        EmulatedEngine failing = simulation.engines.get(0);
+        int before = failing.arrivals();
+        failing.failing(true);
         simulation.runUntil(WARM_UP_MS + FAILURE_DURATION_MS);
-        int sent = bad.arrivals() - before;
+        int sent = failing.arrivals() - before;
         assertThat(deployment.toString(), sent, is(lessThanOrEqualTo(MAX_PROBES_PER_NODE * deployment.nodes())));
-        bad.failing(false);
-        int well = bad.arrivals();
+        failing.failing(false);
+        int beforeRecovery = failing.arrivals();
         simulation.runUntil(WARM_UP_MS + FAILURE_DURATION_MS + RECOVERY_DURATION_MS);
-        assertThat(deployment.toString(), bad.arrivals(), is(greaterThan(well)));
+        assertThat(deployment.toString(), failing.arrivals(), is(greaterThan(beforeRecovery)));
     }
 
-    /** Servers that are four times slower than the others get clearly less, where a node has answers enough to see it. */
+    /** A server that is four times slower than the others gets clearly fewer requests, if nodes see enough responses. */
     @Test
     void aSlowServerGetsLess() {
-        ServerChoiceSimulation simulation = new ServerChoiceSimulation(new ServerChoiceSimulation.Deployment(4, 8, 1, 120, 0, 1), 1);
+        ServerChoiceSimulation simulation = new ServerChoiceSimulation(
+                new ServerChoiceSimulation.Deployment(4, 8, 1, 120, 0, 1), 1);
         EmulatedEngine slow = simulation.engines.get(0);
         slow.slowness(4);
         simulation.runUntil(WARM_UP_MS);
@@ -81,7 +82,7 @@
         assertThat((double) (slow.arrivals() - before) * simulation.engines.size() / all, is(lessThan(0.6)));
     }
 
-    /** Plays the same requests with servers kept for short prompts, and with zones of one server, which keep none apart. */
+    /** Simulates the same load with servers reserved for short prompts, and with one server per zone, so that none is. */
     private static ServerChoiceSimulation[] runSeparatedAndMixed(double shortsPerS, double longsPerS) {
         ServerChoiceSimulation separated = new ServerChoiceSimulation(
                 new ServerChoiceSimulation.Deployment(75, 40, 5, shortsPerS, longsPerS, 400), 1);
@@ -95,7 +96,10 @@
         return new ServerChoiceSimulation[] {separated, mixed};
     }
 
-    /** Short requests beside long prompts, on many thin nodes: nearly all are in time, while long ones lose some. */
+    /**
+     * Nearly all short requests meet their target beside long prompts, on many nodes with little traffic each; the long
+     * ones lose some.
+     */
     @Test
     void shortRequestsDoNotWaitBehindLongPrompts() {
         ServerChoiceSimulation[] results = runSeparatedAndMixed(450, 50);
@@ -105,8 +109,8 @@
     }
 
     /**
-     * Three times as many short requests go to the other servers as well. Keeping servers apart has a cost there, which is
-     * bounded: the nodes find out one by one what those servers can take.
+     * With three times as many short requests, the other servers have to be used for them too. Separation has a cost in
+     * this case, since each node finds out for itself what the servers can handle; the test bounds that cost.
      */
     @Test
     void shortRequestsUseAllServersUnderHighLoad() {
--- a/src/test/java/routerfleet/data/ServerPoolTest.java
+++ b/src/test/java/routerfleet/data/ServerPoolTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import routerfleet.wire.SessionRecord;
 
-/** The choice among listed servers. */
+/** Tests the choice among listed servers. */
 class ServerPoolTest {
     private static final int IN_FLIGHT_LIMIT = 100;
 
@@ -61,35 +61,37 @@
     void mostPrefixesKeepTheirServerWhenServersAreAdded() {
         ServerPool pool = new ServerPool(1, "a");
         fill(pool, 6);
-        Map<Integer, Server> homes = new HashMap<>();
-        for (int part = 0; part < 200; part++) {
-            homes.put(part, pool.choose(profile("c", new PromptPrefix(part + 1, 9_000, 9_000)), IN_FLIGHT_LIMIT, List.of(), 1));
+        Map<Integer, Server> chosen = new HashMap<>();
+        for (int prefix = 0; prefix < 200; prefix++) {
+            chosen.put(prefix, pool.choose(profile("c", new PromptPrefix(prefix + 1, 9_000, 9_000)),
+                    IN_FLIGHT_LIMIT, List.of(), 1));
         }
         pool.add(server(99));
         pool.applyMembership();
         int same = 0;
-        for (int part = 0; part < 200; part++) {
-            same += homes.get(part) == pool.choose(profile("c", new PromptPrefix(part + 1, 9_000, 9_000)),
+        for (int prefix = 0; prefix < 200; prefix++) {
+            same += chosen.get(prefix) == pool.choose(profile("c", new PromptPrefix(prefix + 1, 9_000, 9_000)),
                     IN_FLIGHT_LIMIT, List.of(), 1) ? 1 : 0;
         }
         assertThat(same, is(greaterThan(140)));
     }
 
-    /** Guards kept parts: one good answer of another server is not worth reading a long part anew there. */
+    /** Guards prompt caches: one fast response of another server does not justify processing a long prefix again there. */
     @Test
     void oneFastResponseElsewhereDoesNotMoveAPrefix() {
         ServerPool pool = new ServerPool(1, "a");
         fill(pool, 40);
-        PromptPrefix part = new PromptPrefix(7, 13_000, 13_000);
-        Server home = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 1);
-        Server next = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(home), 1);
-        Server third = pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(home, next), 1);
+        PromptPrefix prefix = new PromptPrefix(7, 13_000, 13_000);
+        Server first = pool.choose(profile("c", prefix), IN_FLIGHT_LIMIT, List.of(), 1);
+        Server next = pool.choose(profile("c", prefix), IN_FLIGHT_LIMIT, List.of(first), 1);
+        Server third = pool.choose(profile("c", prefix), IN_FLIGHT_LIMIT, List.of(first, next), 1);
         pool.recordOutcome(profile("c", PromptPrefix.NONE), third, 200, true);
         pool.recordOutcome(profile("c", PromptPrefix.NONE), next, 100, true);
-        home.requestSent(1);
-        assertThat(pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 1), is(home));
-        home.backOff(10);
-        assertThat("one that is left alone loses it", pool.choose(profile("c", part), IN_FLIGHT_LIMIT, List.of(), 11), is(not(home)));
+        first.requestSent(1);
+        assertThat(pool.choose(profile("c", prefix), IN_FLIGHT_LIMIT, List.of(), 1), is(first));
+        first.backOff(10);
+        assertThat("an avoided server loses the prefix",
+                pool.choose(profile("c", prefix), IN_FLIGHT_LIMIT, List.of(), 11), is(not(first)));
     }
 
     @Test
@@ -123,7 +125,7 @@
         assertThat(PromptPrefix.parse("garbage"), is(PromptPrefix.NONE));
     }
 
-    /** Guards requests between a server's leaving and the settling that follows: the ring still has the one that left. */
+    /** Guards requests between a server's removal and the update that follows: the ring still contains the server. */
     @Test
     void aRemovedServerGetsNoRequests() {
         ServerPool pool = new ServerPool(1, "a");
@@ -131,18 +133,18 @@
         pool.recordOutcome(profile("c", PromptPrefix.NONE), servers.get(0), 50, true);
         servers.get(0).listed(false);
         pool.remove(servers.get(0));
-        for (int part = 1; part < 100; part++) {
-            assertThat(pool.choose(profile("c", new PromptPrefix(part, 9_000, 9_000)),
+        for (int prefix = 1; prefix < 100; prefix++) {
+            assertThat(pool.choose(profile("c", new PromptPrefix(prefix, 9_000, 9_000)),
                     IN_FLIGHT_LIMIT, List.of(), 1), not(servers.get(0)));
         }
         pool.applyMembership();
-        for (int part = 1; part < 100; part++) {
-            assertThat(pool.choose(profile("c", new PromptPrefix(part, 9_000, 9_000)),
+        for (int prefix = 1; prefix < 100; prefix++) {
+            assertThat(pool.choose(profile("c", new PromptPrefix(prefix, 9_000, 9_000)),
                     IN_FLIGHT_LIMIT, List.of(), 1), not(servers.get(0)));
         }
     }
 
-    /** Guards a node that runs long: classes come and go with configurations, and only so many have a network. */
+    /** Guards long-running nodes: classes change with configurations, and the number of networks is limited. */
     @Test
     void aNewClassHasItsOwnNetworkOnceOldClassesAreRemoved() {
         ServerPool pool = new ServerPool(1, "a");
@@ -169,7 +171,10 @@
         assertThat(chosen.getOrDefault(servers.get(0), 0), is(greaterThan(chosen.getOrDefault(servers.get(1), 0))));
     }
 
-    /** Guards FAILBACK: a server that comes back cold looks idle to all nodes at one time, on every path of the choice. */
+    /**
+     * Guards against overloading a cold server: a server that returns cold looks idle to all nodes at the same time, on
+     * every path of the choice.
+     */
     @Test
     void nodesTogetherDoNotOverloadAColdServer() {
         int nodes = 84;
@@ -204,23 +209,25 @@
             long inSecond = arrivals.stream().filter(at -> at >= from && at < from + 1_000).count();
             assertThat(inSecond, is(lessThanOrEqualTo((long) maxPerSecond)));
         }
-        assertThat("it gets what it may, half of the rate or more", arrivals.size(), is(greaterThan(8 * 6)));
+        assertThat("it gets at least half of the permitted rate", arrivals.size(), is(greaterThan(8 * 6)));
     }
 
-    /** Guards the refusal at once: where all are cold, only permissions are used. */
+    /** Guards the immediate refusal: if all servers are cold, requests without a permit are refused, not sent. */
     @Test
     void onlyPermitsAreUsedWhenAllServersAreCold() {
         ServerPool pool = new ServerPool(1, "a");
         fill(pool, 3).forEach(server -> server.warmupState().heartbeatReported(2, 10_000, true, 0));
         pool.coldAdmission().permitProbability(0);
         assertThat(pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 10), is(nullValue()));
-        assertThat(pool.choose(profile("c", new PromptPrefix(7, 9_000, 9_000)), IN_FLIGHT_LIMIT, List.of(), 10), is(nullValue()));
+        assertThat(pool.choose(profile("c", new PromptPrefix(7, 9_000, 9_000)), IN_FLIGHT_LIMIT, List.of(), 10),
+                is(nullValue()));
         pool.coldAdmission().permitProbability(1);
         for (int i = 0; i < 3; i++) {
             Server server = pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 110);
             assertThat(server, is(not(nullValue())));
             pool.coldAdmission().acquirePermit(server, 110);
         }
-        assertThat("each once", pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 110), is(nullValue()));
+        assertThat("each permit once", pool.choose(profile("c", PromptPrefix.NONE), IN_FLIGHT_LIMIT, List.of(), 110),
+                is(nullValue()));
     }
 }
