--- a/src/test/java/routerfleet/data/ServerRegistryTest.java
+++ b/src/test/java/routerfleet/data/ServerRegistryTest.java
@@ -11,7 +11,7 @@
 import routerfleet.wire.SessionRecord;
 import routerfleet.wire.SessionView;
 
-/** The servers that a data node may use, by what control nodes tell. */
+/** Tests which servers a data node may use, given what control nodes report. */
 class ServerRegistryTest {
     private final ServerRegistry registry = new ServerRegistry(1, System::nanoTime, "a");
 
@@ -21,7 +21,7 @@
                 List.of(new SessionView(session, true))));
     }
 
-    /** Guards memory: services come and go under new names for as long as the node runs. */
+    /** Guards memory: services are replaced under new names for as long as the node runs. */
     @Test
     void poolsWithoutServersAreRemoved() {
         reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
@@ -39,22 +39,22 @@
         return new SessionRecord(uid, "llm", "127.0.0.1:1000", "a", 16, phase, 1, 0);
     }
 
-    /** Guards service after a loss of power: what control nodes knew counts until one of them knows more. */
+    /** Guards availability after a power failure: earlier sessions count until a control node's table is complete. */
     @Test
     void earlierServersAreUsedUntilATableIsComplete() {
-        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY), earlierSession("s2", SessionRecord.Phase.READY),
-                earlierSession("s3", SessionRecord.Phase.DRAINING)));
+        registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY),
+                earlierSession("s2", SessionRecord.Phase.READY), earlierSession("s3", SessionRecord.Phase.DRAINING)));
         assertThat(registry.pool("llm").size(), is(2));
         reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
         registry.pollAnswered("10.0.0.1", true);
-        assertThat("the table is filling", registry.pool("llm").size(), is(2));
+        assertThat("the table is incomplete", registry.pool("llm").size(), is(2));
         registry.pollAnswered("10.0.0.1", false);
         assertThat(registry.pool("llm").size(), is(1));
         registry.addEarlierSessions(List.of(earlierSession("s2", SessionRecord.Phase.READY)));
-        assertThat("comes too late", registry.pool("llm").size(), is(1));
+        assertThat("received too late", registry.pool("llm").size(), is(1));
     }
 
-    /** Guards a drain that was acknowledged since the start: the hint does not outweigh it. */
+    /** Guards a drain acknowledged since the control nodes' restart against sessions from before it. */
     @Test
     void aDrainedServerIsNotUsedEvenIfItWasKnownEarlier() {
         registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY)));
@@ -64,7 +64,7 @@
         assertThat(registry.pool("llm").size(), is(0));
     }
 
-    /** Guards drains: from when this node counts as being in touch, only what was said since the start counts. */
+    /** Guards drains: once this node counts as connected, only sessions since the control nodes' restart count. */
     @Test
     void earlierServersAreDroppedOnRequest() {
         registry.addEarlierSessions(List.of(earlierSession("s1", SessionRecord.Phase.READY)));
@@ -76,7 +76,7 @@
         return registry.pool("llm").servers().stream().anyMatch(server -> server.uid().equals(uid));
     }
 
-    /** Guards EVAC: whatever brings a server of an evacuated zone up again, it is not used before the evacuation ends. */
+    /** Guards evacuations: no new or repeated report of a server in an evacuated zone makes it used before the end. */
     @Test
     void serversOfAnEvacuatedZoneAreNotUsedUntilItEnds() {
         reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
@@ -85,12 +85,12 @@
         reportSession(2, "s2", "llm", SessionRecord.Phase.READY);
         registry.addEarlierSessions(List.of(earlierSession("s3", SessionRecord.Phase.READY)));
         registry.removeStale();
-        assertThat("heard anew, or of earlier", registry.pool("llm").size(), is(0));
+        assertThat("newly reported, or known from before", registry.pool("llm").size(), is(0));
         registry.setEvacuatedZones(List.of());
         assertThat(isUsed("s1") && isUsed("s2"), is(true));
     }
 
-    /** Guards what is known of a server's health: an evacuation must not make it forgotten, and an end still counts. */
+    /** Guards the health state of servers: an evacuation must not reset it, and a server that ends meanwhile is dropped. */
     @Test
     void aServerIsKeptDuringAnEvacuationUnlessItEnds() {
         reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
@@ -103,7 +103,10 @@
         assertThat(registry.pool("llm").servers(), is(List.of(before)));
     }
 
-    /** Guards FAILBACK: a server is known to be cold from the moment it is listed, and again when it turns cold. */
+    /**
+     * Guards against overloading cold servers: a server is known to be cold as soon as it is listed, and again when it
+     * becomes cold later.
+     */
     @Test
     void aServerIsColdForAsLongAsItReports() {
         for (long sequence : new long[] {1, 2}) {
@@ -114,7 +117,7 @@
             long nowMs = System.nanoTime() / 1_000_000;
             assertThat(registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(true));
             reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
-            assertThat("an earlier one", registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(true));
+            assertThat("an earlier heartbeat", registry.pool("llm").servers().get(0).warmupState().isCold(nowMs), is(true));
             registry.applySessionChanges("10.0.0.1", new PeerMessage.SessionChanges(1, 1, false, List.of(new SessionView(
                     new SessionRecord("s1", "llm", "127.0.0.1:1000", "a", 16, SessionRecord.Phase.READY,
                             2 * sequence + 1, 0), true))));
@@ -122,7 +125,10 @@
         }
     }
 
-    /** Guards FAILBACK: servers may have turned cold shortly before the end of an evacuation, and their heartbeats lag. */
+    /**
+     * Guards against overloading cold servers: servers may have become cold shortly before the end of an evacuation, before
+     * their heartbeats report it.
+     */
     @Test
     void serversOfAFormerlyEvacuatedZoneAreAssumedCold() {
         reportSession(1, "s1", "llm", SessionRecord.Phase.READY);
--- a/src/test/java/routerfleet/data/ServerTest.java
+++ b/src/test/java/routerfleet/data/ServerTest.java
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test;
 import routerfleet.wire.SessionRecord;
 
-/** What a node keeps of one server. */
+/** Tests the state that a node keeps for a server. */
 class ServerTest {
     private final Server server = new Server(new SessionRecord("s", "llm", "127.0.0.1:1000", "a", 16,
             SessionRecord.Phase.READY, 1, 0));
 
-    /** Guards long prompts: one request that waits for its first event is no sign that the server is dead. */
+    /** Guards long prompts: a single request that waits for its first event does not mean that the server has failed. */
     @Test
     void silenceWithTwoRequestsCountsFromTheSecondRequest() {
         server.requestSent(1_000);
--- a/src/test/java/routerfleet/data/WarmupStateTest.java
+++ b/src/test/java/routerfleet/data/WarmupStateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Until when a server counts as cold. */
+/** Tests until when a server counts as cold. */
 class WarmupStateTest {
     private final WarmupState state = new WarmupState();
 
@@ -24,11 +24,11 @@
         state.heartbeatReported(6, 0, true, 10_500);
         assertThat("warm sooner", state.isCold(10_501), is(false));
         state.heartbeatReported(5, 2_000, true, 10_600);
-        assertThat("an earlier one", state.isCold(10_601), is(false));
+        assertThat("an earlier heartbeat", state.isCold(10_601), is(false));
         assertThat("cold again", state.heartbeatReported(7, 500, true, 11_000), is(true));
     }
 
-    /** Guards worth: a heartbeat that is told again by another control node does not keep the server cold. */
+    /** Guards against idle servers: a heartbeat that another control node reports again does not keep the server cold. */
     @Test
     void aRepeatedHeartbeatDoesNotExtendTheColdTime() {
         state.heartbeatReported(1, 3_000, true, 10_000);
@@ -41,7 +41,7 @@
         state.heartbeatReported(1, 0, true, 10_000);
         state.assumeCold(3_500, 10_100);
         state.heartbeatReported(2, 0, true, 10_300);
-        assertThat("was under way", state.isCold(10_301), is(true));
+        assertThat("sent before the assumption", state.isCold(10_301), is(true));
         state.heartbeatReported(3, 0, true, 11_000);
         assertThat(state.isCold(11_001), is(false));
         state.assumeCold(3_500, 12_000);
@@ -49,7 +49,10 @@
         assertThat(state.isCold(15_500), is(false));
     }
 
-    /** Guards FAILBACK: a heartbeat of before the doubt, told late by a control node that has come back, proves nothing. */
+    /**
+     * Guards against overloading cold servers: a heartbeat from before the assumption, reported late by a control node that
+     * has reconnected, is no evidence that the server is warm.
+     */
     @Test
     void aStaleHeartbeatDoesNotEndTheAssumption() {
         state.heartbeatReported(1, 0, true, 10_000);
--- a/src/test/java/routerfleet/data/ZoneReachabilityTest.java
+++ b/src/test/java/routerfleet/data/ZoneReachabilityTest.java
@@ -11,7 +11,7 @@
 import routerfleet.wire.SessionRecord;
 import routerfleet.wire.SessionView;
 
-/** Servers of zones that can't be reached. */
+/** Tests how zones that can't be reached are avoided. */
 class ZoneReachabilityTest {
     private static final PromptProfile PROFILE = new PromptProfile("draft", PromptPrefix.NONE, 600);
     private final ServerRegistry registry = new ServerRegistry(1, () -> 1_000_000_000L, "c");
@@ -22,8 +22,8 @@
     }
 
     private ServerPool pool() {
-        registry.applySessionChanges("control", new PeerMessage.SessionChanges(1, 1, true, List.of(server("a1", "a"), server("b1", "b"),
-                server("b2", "b"), server("b3", "b"))));
+        registry.applySessionChanges("control", new PeerMessage.SessionChanges(1, 1, true,
+                List.of(server("a1", "a"), server("b1", "b"), server("b2", "b"), server("b3", "b"))));
         return registry.pool("llm");
     }
 
@@ -45,11 +45,11 @@
         for (int i = 0; i < 100; i++) {
             assertThat(pool.choose(PROFILE, 8, List.of(), 1_300), is(sameInstance(find("a1"))));
         }
-        assertThat("where there is no other it is tried",
+        assertThat("used if there is no other server",
                 pool.choose(PROFILE, 8, List.of(find("a1")), 1_300).zone(), is("b"));
     }
 
-    /** Guards the zone against servers of it that are gone for themselves. */
+    /** Guards a reachable zone in which single servers have stopped. */
     @Test
     void aZoneIsNotAvoidedWhileAnyOfItsServersResponds() {
         pool();
@@ -58,7 +58,7 @@
         find("b2").connectTimedOut(1_100, 1_350);
         assertThat(find("b3").isAvoided(1_360), is(false));
         find("b1").connectTimedOut(1_300, 1_550);
-        assertThat("one alone says nothing", find("b3").isAvoided(1_560), is(false));
+        assertThat("a single timeout is not enough", find("b3").isAvoided(1_560), is(false));
     }
 
     @Test
