--- a/src/main/java/routerfleet/control/AppliedIndex.java
+++ b/src/main/java/routerfleet/control/AppliedIndex.java
@@ -5,47 +5,49 @@
 import java.util.TreeMap;
 
 /**
- * Up to which entry of the log the state machine is, and who waits for a later one. For the replica's thread.
+ * The index of the last log entry applied to the state machine, and the tasks that wait for a later entry. Confined to the
+ * replica's thread.
  *
- * <p>Bound: {@value #MOST_WAITING} tasks that wait; further ones are not run, as if what they came from were lost.
+ * <p>Bound: at most {@value #MAX_WAITING} waiting tasks; further ones are dropped without being run, as if the request
+ * behind them had been lost.
  */
 final class AppliedIndex {
-    private static final int MOST_WAITING = 4_096;
+    private static final int MAX_WAITING = 4_096;
 
     private final TreeMap<Long, List<Runnable>> waiters = new TreeMap<>();
     private int waiting;
-    private long last;
+    private long lastApplied;
 
-    /** The index of the last entry that is applied. */
+    /** The index of the last applied entry. */
     long index() {
-        return last;
+        return lastApplied;
     }
 
-    /** The state machine is as that entry leaves it. Who waited for it hears of it by {@link #runApplied}. */
+    /** Records that the state machine has applied the entry. Waiting tasks are run by {@link #runApplied}. */
     void advanceTo(long index) {
-        last = index;
+        lastApplied = index;
     }
 
-    /** Runs a task once that entry is applied. */
+    /** Runs a task as soon as the entry is applied; at once if it already is. */
     void whenApplied(long index, Runnable task) {
-        if (last >= index) {
+        if (lastApplied >= index) {
             task.run();
-        } else if (waiting < MOST_WAITING) {
+        } else if (waiting < MAX_WAITING) {
             waiting++;
             waiters.computeIfAbsent(index, i -> new ArrayList<>()).add(task);
         }
     }
 
-    /** Runs the tasks whose entries are applied. */
+    /** Runs the waiting tasks whose entries have been applied. */
     void runApplied() {
-        while (!waiters.isEmpty() && waiters.firstKey() <= last) {
+        while (!waiters.isEmpty() && waiters.firstKey() <= lastApplied) {
             List<Runnable> reached = waiters.pollFirstEntry().getValue();
             waiting -= reached.size();
             reached.forEach(Runnable::run);
         }
     }
 
-    /** Nothing more is applied here: who waits is not told. */
+    /** Drops all waiting tasks without running them, because no further entry will be applied. */
     void discardWaiters() {
         waiters.clear();
         waiting = 0;
--- a/src/main/java/routerfleet/control/CommittedConfigMessages.java
+++ b/src/main/java/routerfleet/control/CommittedConfigMessages.java
@@ -5,28 +5,28 @@
 import routerfleet.wire.PeerCodec;
 import routerfleet.wire.PeerMessage;
 
-/** The newest configuration that is known to be committed, as data nodes get it: encoded once for all of them. */
+/** The newest committed configuration as sent to data nodes. Each message is encoded once and shared by all of them. */
 final class CommittedConfigMessages {
     private final PeerCodec codec;
     private final ConfigStore store;
-    private PeerMessage.CommittedConfig whole;
+    private PeerMessage.CommittedConfig full;
     private PeerMessage.CommittedDelta delta;
 
-    /** @param store the state that decided orders have led to */
+    /** @param store the state after all applied log entries */
     CommittedConfigMessages(PeerCodec codec, ConfigStore store) {
         this.codec = codec;
         this.store = store;
     }
 
-    /** All of it. */
+    /** The full configuration. */
     PeerMessage.CommittedConfig full() {
-        if (whole == null || whole.generation() != store.generation()) {
-            whole = new PeerMessage.CommittedConfig(store.generation(), codec.encode(store.configuration()));
+        if (full == null || full.generation() != store.generation()) {
+            full = new PeerMessage.CommittedConfig(store.generation(), codec.encode(store.configuration()));
         }
-        return whole;
+        return full;
     }
 
-    /** What leads to it from the generation before; null where only the whole is known. */
+    /** The change from the previous generation to the newest one; null if only the full configuration is known. */
     PeerMessage.CommittedDelta delta() {
         ConfigDelta last = store.lastDelta();
         if (last == null || last.whole() || last.generation() != store.generation()) {
--- a/src/main/java/routerfleet/control/ControlNode.java
+++ b/src/main/java/routerfleet/control/ControlNode.java
@@ -21,26 +21,26 @@
 import routerfleet.wire.PeerNetwork;
 
 /**
- * A control node on a real machine: an event loop, sockets, a folder on disk, and the {@link ControlService} on them.
- * Everything runs on one event loop but for the writes to disk.
+ * A control node on a real machine: runs a {@link ControlService} on an event loop, sockets and a directory on disk.
+ * Everything runs on that one event loop, except disk writes and the validation of configuration updates.
  */
 public final class ControlNode {
     private static final System.Logger LOG = Loggers.get("routerfleet.control");
     private static final long STOP_MS = 400;
-    /** Most of the platform's grace for a successor to take this node's place in the replica group. */
-    private static final double LEAVE_PART = 0.6;
-    private static final long SECOND_MS = 1_000;
+    /** The part of the platform's grace period that a successor may take to replace this node in the replica group. */
+    private static final double LEAVE_GRACE_FRACTION = 0.6;
+    private static final long MS_PER_SECOND = 1_000;
     private static final long DISK_RETRY_MS = 100;
 
-    /** Without a quiet period an event loop may end before it has closed its sockets. */
+    /** Without a quiet period an event loop may terminate before it has closed its sockets. */
     private static final long CRASH_QUIET_MS = 10;
-    private static final long CRASH_MOST_MS = 2_000;
+    private static final long CRASH_TIMEOUT_MS = 2_000;
 
     private final LocalSettings settings;
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final ReplicaStorage storage;
-    private final ExecutorService examiners = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService validators = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "order-examiner");
         thread.setDaemon(true);
         return thread;
@@ -50,17 +50,17 @@
     private PeerNetwork.Listener dataListener;
     private Channel http;
 
-    /** @param settings with an address for the control plane and a folder on disk */
+    /** @param settings with an address for the control plane and a data directory */
     public ControlNode(LocalSettings settings) {
         this.settings = settings;
         PeerCodec codec = new PeerCodec();
         storage = new ReplicaStorage(settings.dataPath(), loop);
         service = new ControlService(settings, new EventLoopScheduler(loop), new NettyPeerNetwork(group, loop, codec),
                 codec, storage, new SplittableRandom(HashMix.of(settings.ip()) ^ System.nanoTime()),
-                new ControlServiceFactory(settings.toleratedHosts(), settings.toleratedZones(), examiners));
+                new ControlServiceFactory(settings.toleratedHosts(), settings.toleratedZones(), validators));
     }
 
-    /** Reads the disk, then listens. @throws IOException if the disk can't be read or an address is taken */
+    /** Loads the state from disk, then listens. @throws IOException if the disk can't be read or an address is in use */
     public void start() throws IOException {
         load();
         peerListener = service.listenToPeers();
@@ -68,29 +68,32 @@
         peerListener.accept();
         dataListener = service.listenToDataNodes();
         http = ControlHttp.bind(group, settings.controlPlane(), service::handle);
-        loop.execute(() -> service.runOnceLeaderKnown(this::letIn));
+        loop.execute(() -> service.runOnceLeaderKnown(this::acceptClients));
         LOG.log(System.Logger.Level.INFO, "control node " + settings.nodeName() + " is up as replica "
                 + service.replica());
     }
 
-    private void letIn() {
+    private void acceptClients() {
         dataListener.accept();
         Listeners.accept(http);
     }
 
-    /** A disk that is full or in trouble at the first start is tried again: a founder's state has to be on it. */
+    /**
+     * Loads the replica's state. At the first start of the whole system a full or failing disk is retried, since the
+     * initial state has to be stored before the node takes part.
+     */
     private void load() throws IOException {
         boolean warned = false;
         while (true) {
             try {
-                service.load(ControlNode::replicaNumber);
+                service.load(ControlNode::randomIncarnation);
                 return;
             } catch (IOException e) {
                 if (!settings.bootstrap()) {
                     throw e;
                 }
                 if (!warned) {
-                    LOG.log(System.Logger.Level.WARNING, "disk refuses the first state, trying again: " + e.getMessage());
+                    LOG.log(System.Logger.Level.WARNING, "could not store the initial state, retrying: " + e.getMessage());
                 }
                 warned = true;
                 pause();
@@ -98,8 +101,8 @@
         }
     }
 
-    /** Asked for on an empty disk only: a secure source costs each start some 10 ms of processor time. */
-    private static long replicaNumber() {
+    /** Called only for an empty disk: creating a secure random source takes about 10 ms of processor time. */
+    private static long randomIncarnation() {
         return new SecureRandom().nextLong() >>> 2;
     }
 
@@ -108,31 +111,32 @@
             Thread.sleep(DISK_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted at the start", e);
+            throw new IOException("interrupted during startup", e);
         }
     }
 
-    /** Takes new settings: only the seeds may change while the process runs. */
+    /** Applies changed settings. Only the seeds may change while the process runs. */
     public void reload(LocalSettings changed) {
         loop.execute(() -> service.updateSeeds(changed.seeds()));
     }
 
     /**
-     * Hands on leadership, and the replica's place where another control node waits for one, and ends. Blocks for a moment
-     * or until a successor has taken over, at most for a part of the platform's grace.
+     * Stops the node in order: transfers leadership and, if another control node is ready to replace this one, gives up its
+     * membership in the replica group. Blocks until a successor has taken over, or at most for a fraction
+     * ({@value #LEAVE_GRACE_FRACTION}) of the platform's grace period.
      */
     public void stop() {
-        long mostMs = (long) (settings.bounds().graceS() * SECOND_MS * LEAVE_PART);
-        CountDownLatch left = new CountDownLatch(1);
-        loop.execute(() -> service.prepareToStop(left::countDown, mostMs));
+        long leaveTimeoutMs = (long) (settings.bounds().graceS() * MS_PER_SECOND * LEAVE_GRACE_FRACTION);
+        CountDownLatch hasLeft = new CountDownLatch(1);
+        loop.execute(() -> service.prepareToStop(hasLeft::countDown, leaveTimeoutMs));
         try {
-            left.await(mostMs + STOP_MS, TimeUnit.MILLISECONDS);
+            hasLeft.await(leaveTimeoutMs + STOP_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         loop.schedule(this::closeListeners, STOP_MS / 2, TimeUnit.MILLISECONDS).awaitUninterruptibly(STOP_MS);
         storage.close();
-        examiners.shutdownNow();
+        validators.shutdownNow();
     }
 
     private void closeListeners() {
@@ -145,10 +149,10 @@
         }
     }
 
-    /** Ends at once: nothing is handed on, and what has not been written is not. */
+    /** Stops at once, as if killed: no leadership transfer, and pending writes are dropped. */
     public void crash() {
         storage.close();
-        examiners.shutdownNow();
-        group.shutdownGracefully(CRASH_QUIET_MS, CRASH_MOST_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        validators.shutdownNow();
+        group.shutdownGracefully(CRASH_QUIET_MS, CRASH_TIMEOUT_MS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 }
--- a/src/main/java/routerfleet/control/ControlPeers.java
+++ b/src/main/java/routerfleet/control/ControlPeers.java
@@ -16,22 +16,23 @@
 import routerfleet.wire.PeerMessage;
 
 /**
- * The other control nodes: which there are, the connections to and from them, and when each was last there. Every node
- * opens a connection to every other one and sends on it; what comes in on the others' connections is only read and
- * answered.
+ * The other control nodes: their addresses, the connections to and from them, and when each was last connected. Every node
+ * opens a connection to every other one and sends on it; on incoming connections it only reads messages and replies to
+ * them.
  */
 final class ControlPeers {
-    private static final int MOST_PEERS = 64;
-    /** A node that was not heard of for so long is no longer called, unless it is a seed or a replica. */
-    private static final long FORGET_MS = 60_000;
+    private static final int MAX_PEERS = 64;
+    /** A node that has been disconnected for this long is no longer dialed, unless it is a seed or a replica. */
+    private static final long STALE_MS = 60_000;
 
-    /** What is known of a control node that has introduced itself. */
+    /** What a control node has announced about itself in its hello message. */
     record Peer(String ip, String zone, String replica, boolean leaving) { }
 
     private final String selfIp;
     private final int port;
     private final Map<String, PeerLink> outgoing = new TreeMap<>();
     private final Map<PeerLink, Peer> incoming = new LinkedHashMap<>();
+    /** When a node was added, or its last incoming connection closed, whichever is later. */
     private final Map<String, Long> lastHeardNanos = new TreeMap<>();
     private final Set<String> known = new TreeSet<>();
     private final Map<String, String> zones = new TreeMap<>();
@@ -42,25 +43,25 @@
         this.port = port;
     }
 
-    /** @param opener opens the connections */
-    void start(PeerDialer opener) {
-        dialer = opener;
+    /** @param peerDialer opens the outgoing connections */
+    void start(PeerDialer peerDialer) {
+        dialer = peerDialer;
     }
 
-    /** Learns that a control node may be there. */
+    /** Adds the address of a control node and starts dialing it; ignored beyond {@value #MAX_PEERS} nodes. */
     void add(String ip, long nowNanos) {
-        if (!ip.equals(selfIp) && known.size() < MOST_PEERS && known.add(ip)) {
+        if (!ip.equals(selfIp) && known.size() < MAX_PEERS && known.add(ip)) {
             lastHeardNanos.putIfAbsent(ip, nowNanos);
             dialer.want(new HostPort(ip, port));
             dialer.hurry(new HostPort(ip, port));
         }
     }
 
-    /** Gives up nodes that have been gone for long. @param kept addresses that are called whatever happens */
-    void removeStale(Set<String> kept, long nowNanos) {
+    /** Removes nodes that have been disconnected for too long. @param retained addresses that are never removed */
+    void removeStale(Set<String> retained, long nowNanos) {
         for (String ip : List.copyOf(known)) {
-            boolean old = nowNanos - lastHeardNanos.getOrDefault(ip, nowNanos) > TimeUnit.MILLISECONDS.toNanos(FORGET_MS);
-            if (old && !kept.contains(ip) && !outgoing.containsKey(ip)) {
+            boolean old = nowNanos - lastHeardNanos.getOrDefault(ip, nowNanos) > TimeUnit.MILLISECONDS.toNanos(STALE_MS);
+            if (old && !retained.contains(ip) && !outgoing.containsKey(ip)) {
                 known.remove(ip);
                 lastHeardNanos.remove(ip);
                 zones.remove(ip);
@@ -69,26 +70,28 @@
         }
     }
 
-    /** This node's own address. */
+    /** This node's own IP address. */
     String selfIp() {
         return selfIp;
     }
 
+    /** Addresses of all known control nodes, connected or not, this one included. */
     List<String> knownAddresses() {
         List<String> all = new ArrayList<>(known);
         all.add(selfIp);
         return all;
     }
 
-    /** The zone of another control node, as it has last told; null for one that was not heard of. */
+    /** The zone that another control node last announced; null if it never has. */
     String zone(String ip) {
         return zones.get(ip);
     }
 
     /**
-     * Whether control nodes stand in so many zones, as far as those that are known do.
+     * Whether the given control nodes cover the wanted number of zones, or all zones if fewer are known. If the zone of any
+     * known node is unknown, one more zone is assumed to exist.
      *
-     * @param holders addresses, of which this node's may be one
+     * @param holders addresses of control nodes, possibly including this one
      * @param selfZone this node's own zone
      */
     boolean spanZones(Set<String> holders, String selfZone, int zonesWanted) {
@@ -101,7 +104,7 @@
         return held.size() >= Math.min(zonesWanted, all.size() + unknown);
     }
 
-    /** Addresses of the control nodes that are connected, this one included. */
+    /** Addresses of the control nodes with an open outgoing connection, and of this one. */
     List<String> connectedAddresses() {
         List<String> all = new ArrayList<>(outgoing.keySet());
         all.add(selfIp);
@@ -116,8 +119,9 @@
         outgoing.remove(ip, link);
     }
 
+    /** Registers an incoming connection by the hello message of its control node, and adds the nodes that it lists. */
     void onHello(PeerLink link, PeerMessage.ControlHello hello, long nowNanos) {
-        forgetEarlierLives(hello);
+        closeEarlierConnections(hello);
         incoming.put(link, new Peer(hello.ip(), hello.zone(), hello.replica(), false));
         add(hello.ip(), nowNanos);
         if (known.contains(hello.ip())) {
@@ -135,8 +139,11 @@
         return both;
     }
 
-    /** A connection of a process that has ended may be seen to close only later: it must not stand for its replica. */
-    private void forgetEarlierLives(PeerMessage.ControlHello hello) {
+    /**
+     * Closes older connections from the same address. The end of a connection may be noticed only after the process behind
+     * it has been restarted, and such a connection must not count as a connected replica.
+     */
+    private void closeEarlierConnections(PeerMessage.ControlHello hello) {
         for (Map.Entry<PeerLink, Peer> other : List.copyOf(incoming.entrySet())) {
             if (other.getValue().ip().equals(hello.ip())) {
                 incoming.remove(other.getKey());
@@ -145,7 +152,10 @@
         }
     }
 
-    /** A node has said that it is about to stop; so until its connection ends, which is before it comes back. */
+    /**
+     * Records that a node has announced its shutdown. The mark lasts until its connection closes, which happens before the
+     * node returns.
+     */
     void markLeaving(PeerLink link) {
         incoming.computeIfPresent(link, (l, peer) -> new Peer(peer.ip(), peer.zone(), peer.replica(), true));
     }
@@ -157,18 +167,18 @@
         }
     }
 
-    /** Who has opened a connection; null where it has not introduced itself as a control node. */
+    /** The control node that opened a connection; null if no hello message of a control node has arrived on it. */
     Peer peerOf(PeerLink link) {
         return incoming.get(link);
     }
 
     /**
-     * Which control nodes have a connection to this one.
+     * The connected control nodes, as input for planning the replica group.
      *
      * @param selfZone this node's own zone
-     * @param holdsAll whether a replica holds all that is decided
+     * @param caughtUp whether a replica has all committed entries
      */
-    ReplicaPlanner.ClusterView clusterView(String selfZone, long nowNanos, Predicate<String> holdsAll) {
+    ReplicaPlanner.ClusterView clusterView(String selfZone, long nowNanos, Predicate<String> caughtUp) {
         return new ReplicaPlanner.ClusterView() {
             @Override
             public List<String> connectedReplicas() {
@@ -177,7 +187,7 @@
 
             @Override
             public boolean isCaughtUp(String replica) {
-                return holdsAll.test(replica);
+                return caughtUp.test(replica);
             }
 
             @Override
@@ -192,12 +202,12 @@
 
             @Override
             public long disconnectedMs(String ip) {
-                return ControlPeers.this.absentMs(ip, nowNanos);
+                return ControlPeers.this.disconnectedMs(ip, nowNanos);
             }
         };
     }
 
-    private long absentMs(String ip, long nowNanos) {
+    private long disconnectedMs(String ip, long nowNanos) {
         for (Peer peer : incoming.values()) {
             if (peer.ip().equals(ip)) {
                 return 0;
@@ -207,7 +217,7 @@
         return heard == null ? 0 : TimeUnit.NANOSECONDS.toMillis(nowNanos - heard);
     }
 
-    /** @return whether there is a connection to send on */
+    /** Sends a message to a control node. @return false if there is no outgoing connection to it */
     boolean send(String ip, PeerMessage message) {
         PeerLink link = outgoing.get(ip);
         if (link == null) {
@@ -221,7 +231,7 @@
         outgoing.values().forEach(link -> link.send(message));
     }
 
-    /** Whether a connected control node is none of these replicas, and so may take the place of one. */
+    /** Whether a connected control node is not among these replicas and could therefore replace one of them. */
     boolean hasLearner(List<String> replicas) {
         return incoming.values().stream().anyMatch(peer -> !replicas.contains(peer.replica()));
     }
--- a/src/main/java/routerfleet/control/ControlServiceFactory.java
+++ b/src/main/java/routerfleet/control/ControlServiceFactory.java
@@ -8,24 +8,24 @@
 import routerfleet.settings.LocalSettings;
 import routerfleet.wire.Scheduler;
 
-/** Makes the parts of a control service that decide something; simulations put faulty ones in their place. */
+/** Creates the components of a control service that make decisions; simulations override it to inject faults. */
 class ControlServiceFactory {
-    /** How many control nodes may be lost at once, with their disks. */
+    /** How many control nodes may be lost at the same time, including their disks. */
     protected final int toleratedHosts;
-    /** How many zones may be. */
+    /** How many zones may be lost at the same time. */
     protected final int toleratedZones;
-    private final Executor examiners;
+    private final Executor validators;
 
-    /** With orders examined on the replica's own thread, as simulations need it. */
+    /** Validates configuration updates on the replica's own thread, as simulations need it. */
     ControlServiceFactory(int toleratedHosts) {
         this(toleratedHosts, 0, Runnable::run);
     }
 
-    /** @param examiners where orders are examined, one at a time */
-    ControlServiceFactory(int toleratedHosts, int toleratedZones, Executor examiners) {
+    /** @param examiners runs the validation of configuration updates, one at a time */
+    ControlServiceFactory(int toleratedHosts, int toleratedZones, Executor validators) {
         this.toleratedHosts = toleratedHosts;
         this.toleratedZones = toleratedZones;
-        this.examiners = examiners;
+        this.validators = validators;
     }
 
     RaftNode raftNode(RaftNode.Settings settings, PersistentState saved, Instant now, RaftNode.Actions actions) {
@@ -41,36 +41,36 @@
     }
 
     ConfigUpdateQueue orderQueue(ConfigUpdateQueue.Leader leader, ConfigStore store, Executor loop) {
-        return new ConfigUpdateQueue(leader, store, new ConfigUpdateValidator(examiners, loop));
+        return new ConfigUpdateQueue(leader, store, new ConfigUpdateValidator(validators, loop));
     }
 
     ConfigStore configStore() {
         return new ConfigStore();
     }
 
-    /** Of how many replicas a group has to be before anything is acknowledged. */
+    /** The minimum number of voters in the group; with fewer, nothing is acknowledged. */
     int minVoters() {
         return 2 * toleratedHosts + 1;
     }
 
-    /** How many other control nodes have to hold that a server ends before it is acknowledged. */
+    /** How many other control nodes must have stored a server's deregistration or drain before it is acknowledged. */
     int requiredRemoteCopies() {
         return toleratedHosts;
     }
 
-    /** How much is remembered of tallies. */
+    /** The limits on what is remembered of tallies. */
     TallyLimits tallyBounds() {
         return TallyLimits.DEFAULT;
     }
 
-    /** On how many disks an add to a tally has to be. */
+    /** Decides when an addition to a tally is stored on enough disks and in enough zones. */
     TallyAckPolicy tallyReach(LocalSettings settings, ControlPeers peers) {
         return new TallyAckPolicy(settings.toleratedHosts() + 1, settings.toleratedZones() + 1, settings.ip(),
                 settings.zone(), peers);
     }
 
-    /** The name of the replica on a disk that comes to be empty later. */
-    String replacementReplicaName(String ip, long number) {
-        return ReplicaNames.replacement(ip, number);
+    /** The name of a replica that starts on an empty disk after the first start of the system. */
+    String replacementReplicaName(String ip, long incarnation) {
+        return ReplicaNames.replacement(ip, incarnation);
     }
 }
--- a/src/main/java/routerfleet/control/DeferredTasks.java
+++ b/src/main/java/routerfleet/control/DeferredTasks.java
@@ -4,19 +4,22 @@
 import java.util.Deque;
 import routerfleet.log.Loggers;
 
-/** What a replica's agreement has asked for within a call, carried out once the call has returned. For one thread. */
+/**
+ * Queue of the actions that a replica's Raft node requests during a call; they are run after the call has returned. Not
+ * thread-safe.
+ */
 final class DeferredTasks {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.replica");
 
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private boolean running;
 
-    /** Runs a task once the current one is over. */
+    /** Adds a task that is run after the current one. */
     void add(Runnable task) {
         tasks.add(task);
     }
 
-    /** Runs all tasks, and those that come of them. @return whether it did; false within such a task */
+    /** Runs all queued tasks and the ones they add. @return false, without effect, if called from within such a task */
     boolean runAll() {
         if (running) {
             return false;
@@ -29,7 +32,7 @@
         return true;
     }
 
-    /** Guards the replica: what fails in one task must not keep it from all that follows. */
+    /** Catches and logs failures, so that a failing task does not prevent the following ones from running. */
     private static void run(Runnable task) {
         try {
             task.run();
--- a/src/main/java/routerfleet/control/DirectoryDisk.java
+++ b/src/main/java/routerfleet/control/DirectoryDisk.java
@@ -7,57 +7,57 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the machine's own disk. */
+/** A directory in the machine's file system. */
 final class DirectoryDisk implements Disk {
-    /** Makes the entries of a folder outlive a loss of power. */
+    /** Syncs a directory, so that its entries survive a power loss. */
     interface DirectorySync {
-        /** @throws IOException if the disk refuses it */
-        void sync(Path folder) throws IOException;
+        /** @throws IOException if the sync fails */
+        void sync(Path directory) throws IOException;
     }
 
-    private final Path folder;
-    private final DirectorySync folderSync;
+    private final Path directory;
+    private final DirectorySync directorySync;
 
-    /** @param folder made where there is none */
-    DirectoryDisk(Path folder) {
-        this(folder, DirectoryDisk::sync);
+    /** @param directory created if it does not exist */
+    DirectoryDisk(Path directory) {
+        this(directory, DirectoryDisk::sync);
     }
 
-    DirectoryDisk(Path folder, DirectorySync folderSync) {
-        this.folder = folder;
-        this.folderSync = folderSync;
+    DirectoryDisk(Path directory, DirectorySync directorySync) {
+        this.directory = directory;
+        this.directorySync = directorySync;
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        Files.createDirectories(folder);
-        Path file = folder.resolve(name);
+        Files.createDirectories(directory);
+        Path file = directory.resolve(name);
         return Files.exists(file) ? Files.readAllBytes(file) : null;
     }
 
     @Override
     public DiskFile open(String name) throws IOException {
-        return new ChannelFile(FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
+        return new ChannelFile(FileChannel.open(directory.resolve(name), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE));
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        folderSync.sync(folder);
+        directorySync.sync(directory);
     }
 
-    private static void sync(Path folder) throws IOException {
-        try (FileChannel directory = FileChannel.open(folder)) {
-            directory.force(true);
+    private static void sync(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory)) {
+            channel.force(true);
         }
     }
 
     private record ChannelFile(FileChannel channel) implements DiskFile {
         @Override
         public void write(long position, ByteBuffer bytes) throws IOException {
-            long at = position;
+            long offset = position;
             while (bytes.hasRemaining()) {
-                at += channel.write(bytes, at);
+                offset += channel.write(bytes, offset);
             }
         }
 
--- a/src/main/java/routerfleet/control/Disk.java
+++ b/src/main/java/routerfleet/control/Disk.java
@@ -4,26 +4,26 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A folder on a disk as a replica uses it: a real one ({@link DirectoryDisk}), or a simulated one. */
+/** A directory that holds a replica's files: a real one ({@link DirectoryDisk}) or a simulated one. */
 interface Disk {
-    /** All bytes of a file; null where there is none. */
+    /** All bytes of a file; null if it does not exist. */
     byte[] read(String name) throws IOException;
 
-    /** Opens a file for writing, and makes it where there is none. */
+    /** Opens a file for writing and creates it if it does not exist. */
     DiskFile open(String name) throws IOException;
 
-    /** Makes the folder's entries outlive a loss of power. */
+    /** Syncs the directory, so that its entries survive a power loss. */
     void syncDirectory() throws IOException;
 
-    /** An open file. */
+    /** A file open for writing. */
     interface DiskFile extends Closeable {
-        /** Writes at a place, in the file or right behind it. */
+        /** Writes all remaining bytes at a position within the file or at its end. */
         void write(long position, ByteBuffer bytes) throws IOException;
 
-        /** Makes it empty. */
+        /** Truncates the file to zero bytes. */
         void truncate() throws IOException;
 
-        /** Makes what was written outlive a loss of power. */
+        /** Syncs the file, so that its content survives a power loss. */
         void sync() throws IOException;
     }
 }
--- a/src/main/java/routerfleet/control/DiskWriter.java
+++ b/src/main/java/routerfleet/control/DiskWriter.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The thread that writes to a replica's disk, and waits for it: a real one, or virtual time in a simulation. */
+/** Executes a replica's blocking disk operations one at a time: on a real thread, or in virtual time in a simulation. */
 interface DiskWriter {
-    /** Runs a task after those before it. */
+    /** Runs a task after the tasks submitted before it. */
     void execute(Runnable task);
 
     /** Runs a task after a delay. */
     void executeAfter(long delayMs, Runnable task);
 
-    /** A steady clock in milliseconds. */
+    /** The current value of a monotonic clock, in milliseconds. */
     long monotonicMs();
 
-    /** Ends it; what has not begun is not run. */
+    /** Stops the writer; tasks that have not started are discarded. */
     void close();
 
-    /** A real thread. */
+    /** Runs the tasks on a daemon thread of its own. */
     final class SingleThread implements DiskWriter {
         private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, task -> {
             java.lang.Thread thread = new java.lang.Thread(task, "replica-storage");
--- a/src/main/java/routerfleet/control/LeadershipWaiters.java
+++ b/src/main/java/routerfleet/control/LeadershipWaiters.java
@@ -4,47 +4,49 @@
 import java.util.List;
 
 /**
- * Who waits for an elected leader: for a majority to confirm in a round that it still leads, or, right after its election,
- * for it to know what was decided before. For the replica's thread.
+ * Requests that wait for this replica's leadership: either for a majority to confirm in a heartbeat round that it still
+ * leads, or, right after its election, for it to learn which entries were committed before. Confined to the replica's
+ * thread.
  *
- * <p>Bound: {@value #MOST_KEPT} questions kept for a new leader; those that wait for rounds are bounded by who asks.
+ * <p>Bound: at most {@value #MAX_DEFERRED} requests are deferred for a new leader. Callers bound the number of requests
+ * that wait for rounds.
  */
 final class LeadershipWaiters {
-    private static final int MOST_KEPT = 256;
+    private static final int MAX_DEFERRED = 256;
 
     private record Waiter(long round, Runnable confirmed, Runnable lost) { }
 
     private final List<Waiter> waiters = new ArrayList<>();
-    private final List<Runnable> kept = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
 
-    /** Runs one of the two: once that round or a later one is confirmed, or leadership is lost. */
+    /** Runs one of the two callbacks: once the round or a later one is confirmed, or once leadership is lost. */
     void awaitRound(long round, Runnable confirmed, Runnable lost) {
         waiters.add(new Waiter(round, confirmed, lost));
     }
 
-    /** A majority has answered that round, and so all before it. */
+    /** Runs the callbacks of the round that a majority has answered, and of all earlier rounds. */
     void confirmed(long round) {
         List<Waiter> ready = waiters.stream().filter(waiter -> waiter.round() <= round).toList();
         waiters.removeAll(ready);
         ready.forEach(waiter -> waiter.confirmed().run());
     }
 
-    /** Keeps a question until the leader can answer, or leads no more. @return whether there was room */
-    boolean defer(Runnable question) {
-        if (kept.size() >= MOST_KEPT) {
+    /** Defers a request until the leader can answer it or has lost leadership. @return false if the limit is reached */
+    boolean defer(Runnable request) {
+        if (deferred.size() >= MAX_DEFERRED) {
             return false;
         }
-        return kept.add(question);
+        return deferred.add(request);
     }
 
-    /** The kept questions are asked again. */
+    /** Runs the deferred requests again. */
     void retryDeferred() {
-        List<Runnable> questions = new ArrayList<>(kept);
-        kept.clear();
-        questions.forEach(Runnable::run);
+        List<Runnable> requests = new ArrayList<>(deferred);
+        deferred.clear();
+        requests.forEach(Runnable::run);
     }
 
-    /** This replica leads no more. */
+    /** Fails the waiting rounds and runs the deferred requests, because this replica has lost leadership. */
     void leadershipLost() {
         List<Waiter> waiting = new ArrayList<>(waiters);
         waiters.clear();
--- a/src/main/java/routerfleet/control/RaftTimer.java
+++ b/src/main/java/routerfleet/control/RaftTimer.java
@@ -5,31 +5,33 @@
 import java.util.concurrent.TimeUnit;
 import routerfleet.wire.Scheduler;
 
-/** Wakes a replica's agreement when it is due; the earliest of the times that it was set to counts. For one thread. */
+/**
+ * Runs a replica's Raft timer task when it is due. Of several scheduled times the earliest wins. Not thread-safe.
+ */
 final class RaftTimer {
     private final Scheduler scheduler;
     private final Runnable task;
-    /** When it is to wake; null where it is not set. */
-    private Instant at;
+    /** When the task is due; null while nothing is scheduled. */
+    private Instant wakeAt;
 
     RaftTimer(Scheduler scheduler, Runnable task) {
         this.scheduler = scheduler;
         this.task = task;
     }
 
-    /** @param due null for never */
+    /** Schedules the task unless an earlier or equal time is scheduled already. @param due null to schedule nothing */
     void schedule(Instant due) {
-        if (due == null || at != null && !at.isAfter(due)) {
+        if (due == null || wakeAt != null && !wakeAt.isAfter(due)) {
             return;
         }
-        at = due;
+        wakeAt = due;
         long delay = Math.max(0, Duration.between(scheduler.now(), due).toNanos());
         scheduler.schedule(() -> wake(due), delay, TimeUnit.NANOSECONDS);
     }
 
     private void wake(Instant due) {
-        if (due.equals(at)) {
-            at = null;
+        if (due.equals(wakeAt)) {
+            wakeAt = null;
             task.run();
         }
     }
--- a/src/main/java/routerfleet/control/ReplicaGroup.java
+++ b/src/main/java/routerfleet/control/ReplicaGroup.java
@@ -26,145 +26,144 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * This node's replica of the configuration shard: drives {@link RaftNode}, applies what is committed to the
- * {@link ConfigStore}, takes orders while it leads, and knows up to when everything acknowledged is known here. For one
- * thread, the scheduler's.
+ * This node's replica of the configuration shard: drives a {@link RaftNode}, applies committed entries to the
+ * {@link ConfigStore}, accepts configuration updates while it is the leader, and provides read indexes for linearizable
+ * reads. Confined to the scheduler's thread.
  */
 final class ReplicaGroup {
-    /** What it needs of the node around it. */
+    /** What a replica group needs from its node: sending messages, and callbacks on changes. */
     interface Environment {
-        /** Sends to the replica of that name. */
+        /** Sends a Raft message to the named replica; may drop it. */
         void send(String replica, Message message);
 
         /** The configuration has changed. */
         void configurationChanged(long generation);
 
-        /** Other zones are evacuated. */
+        /** The set of evacuated zones has changed. */
         void evacuationsChanged(Evacuations evacuations);
 
-        /** There is a leader from now on that can answer for the group: this replica or another one. */
+        /** A leader that can serve requests for the group has become known: this replica or another one. */
         void leaderKnown();
     }
 
     private static final System.Logger LOG = Loggers.get("routerfleet.control.replica");
-    private static final Duration ELECTION = Duration.ofMillis(400);
-    /** All machines may start at one time, and serve nothing until there is a leader. */
-    private static final Duration FIRST_ELECTION = Duration.ofMillis(100);
-    private static final Duration HEARTBEAT = Duration.ofMillis(100);
-    private static final int MOST_MESSAGE_BYTES = 256 << 10;
-    private static final int MOST_UNDECIDED = 512;
-    /** A leader whose disk has not answered for so long hands its part on. */
+    private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(400);
+    /** Shorter than later timeouts: all machines may start at once, and nothing is served until there is a leader. */
+    private static final Duration FIRST_ELECTION_TIMEOUT = Duration.ofMillis(100);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
+    private static final int MAX_MESSAGE_BYTES = 256 << 10;
+    private static final int MAX_UNCOMMITTED_ENTRIES = 512;
+    /** A leader whose disk has not completed a write for this long transfers its leadership. */
     private static final long DISK_STALLED_MS = 1_000;
     private static final int COMPACT_AFTER_ENTRIES = 128;
     private static final long COMPACT_AFTER_BYTES = 1 << 20;
-    /** A larger order stands in the log as it was sent, without its typed form, so that an entry stays in bounds. */
-    private static final int MOST_TYPED_BYTES = 1 << 20;
+    /** A larger update is logged only as it was received, without its decoded form, to keep log entries bounded. */
+    private static final int MAX_TYPED_BYTES = 1 << 20;
 
     private final Scheduler scheduler;
     private final PeerCodec codec;
     private final String self;
-    /** With fewer, so many disks could be lost at once that no majority is left: nothing is acknowledged. */
-    private final int leastVoters;
+    /** With fewer voters, the tolerated loss of disks could leave no majority, so nothing is acknowledged. */
+    private final int minVoters;
     private final ReplicaStorage storage;
-    private final Environment surroundings;
+    private final Environment environment;
     private final ConfigStore store;
-    private final RaftNode agreement;
+    private final RaftNode raft;
     private final CommittedConfigMessages committed;
     private final DeferredTasks deferred = new DeferredTasks();
     private final ConfigUpdateQueue orders;
     private final PendingEvacuations evacuationOrders = new PendingEvacuations();
-    private final LeadershipWaiters questions = new LeadershipWaiters();
-    private final AppliedIndex applied = new AppliedIndex();
+    private final LeadershipWaiters leadershipWaiters = new LeadershipWaiters();
+    private final AppliedIndex appliedIndex = new AppliedIndex();
     private final RaftTimer timer;
-    /** The leader that {@link Environment#leaderKnown} was last told of; null while there is none. */
-    private String knownLeader;
+    /** The leader last reported through {@link Environment#leaderKnown}; null while none is known. */
+    private String reportedLeader;
     private long bytesSinceSnapshot;
-    /** It can't read what was decided, and takes no part any more: going on without would be another state. */
+    /** Set if a committed entry or snapshot can't be read; continuing without it would make the state diverge. */
     private boolean halted;
 
-    /**
-     * @param self the replica's name
-     * @param saved what is on its disk
-     */
-    ReplicaGroup(Scheduler scheduler, PeerCodec codec, String self, PersistentState saved, ReplicaStorage storage, long seed,
-            Environment surroundings, ControlServiceFactory parts) {
+    /** @param saved the persistent state read from the disk of the replica named {@code self} */
+    ReplicaGroup(Scheduler scheduler, PeerCodec codec, String self, PersistentState saved, ReplicaStorage storage,
+            long seed, Environment environment, ControlServiceFactory factory) {
         this.scheduler = scheduler;
         timer = new RaftTimer(scheduler, this::onTime);
-        leastVoters = parts.minVoters();
-        store = parts.configStore();
-        orders = parts.orderQueue(new Leader(), store, scheduler);
+        minVoters = factory.minVoters();
+        store = factory.configStore();
+        orders = factory.orderQueue(new Leader(), store, scheduler);
         this.codec = codec;
         committed = new CommittedConfigMessages(codec, store);
         this.self = self;
         this.storage = storage;
-        this.surroundings = surroundings;
+        this.environment = environment;
         restore(saved.snapshot());
-        agreement = parts.raftNode(new RaftNode.Settings(self, ELECTION, FIRST_ELECTION, HEARTBEAT, MOST_MESSAGE_BYTES,
-                MOST_UNDECIDED, RaftNode.Transport.CONNECTIONS, seed), saved, scheduler.now(), new AgreementActions());
-        timer.schedule(agreement.due());
+        raft = factory.raftNode(new RaftNode.Settings(self, ELECTION_TIMEOUT, FIRST_ELECTION_TIMEOUT, HEARTBEAT_INTERVAL,
+                MAX_MESSAGE_BYTES, MAX_UNCOMMITTED_ENTRIES, RaftNode.Transport.CONNECTIONS, seed), saved, scheduler.now(),
+                new RaftActions());
+        timer.schedule(raft.due());
     }
 
-    // ---- asked
+    // ---- queries
 
+    /** Whether this replica is the leader and knows all entries committed before its term. */
     boolean isLeader() {
-        return !halted && agreement.isEstablished();
+        return !halted && raft.isEstablished();
     }
 
-    /** The leader's replica name; null where none is known. */
+    /** The leader's replica name; null if none is known. */
     String leader() {
-        return halted ? null : agreement.leader();
+        return halted ? null : raft.leader();
     }
 
     /**
-     * Whether this replica may answer for the group: one that has no vote, or not yet for certain, leaves it to the
-     * others, so that nobody takes a node for repaired that the group does not count on.
+     * Whether this replica may serve reads for the group. A replica without a vote, or one that is only being added, leaves
+     * reads to the others, so that operators don't take a node for recovered before the group counts its vote.
      */
     boolean answersReads() {
-        VoterConfig membership = agreement.voterConfig();
+        VoterConfig membership = raft.voterConfig();
         return !halted && membership.voters().contains(self)
                 && (!membership.isJoint() || membership.outgoing().contains(self));
     }
 
-    /** Its part in the group, in one line. */
+    /** The role and progress of this replica, in one line for logs and operators. */
     String describe() {
-        return (halted ? "halted" : agreement.role()) + " of term " + agreement.term() + ", leader " + leader()
-                + ", voters " + voters() + (isChangingMembers() ? " in place of " + agreement.voterConfig().outgoing() : "")
-                + ", entries " + applied.index() + "/" + agreement.commitIndex() + "/" + agreement.lastIndex() + ", "
+        return (halted ? "halted" : raft.role()) + " of term " + raft.term() + ", leader " + leader()
+                + ", voters " + voters() + (isChangingMembers() ? " in place of " + raft.voterConfig().outgoing() : "")
+                + ", entries " + appliedIndex.index() + "/" + raft.commitIndex() + "/" + raft.lastIndex() + ", "
                 + storage.pendingWrites() + " writes wait";
     }
 
-    /** Whether a change of the members is under way. */
+    /** Whether a membership change (joint consensus) is in progress. */
     boolean isChangingMembers() {
-        return agreement.voterConfig().isJoint();
+        return raft.voterConfig().isJoint();
     }
 
-    /** Whether it was elected, even if it does not know yet what was decided before. */
+    /** Whether this replica was elected leader, even if it does not know yet which earlier entries are committed. */
     boolean isElected() {
-        return agreement.role() == RaftNode.Role.LEADER;
+        return raft.role() == RaftNode.Role.LEADER;
     }
 
     /** Whether this replica has a vote. */
     boolean isVoter() {
-        return agreement.voterConfig().includes(self);
+        return raft.voterConfig().includes(self);
     }
 
-    /** Whether the group is large enough that what it decides outlives the losses that are to be borne. */
-    private boolean isLargeEnough() {
-        VoterConfig membership = agreement.voterConfig();
-        return membership.voters().size() >= leastVoters
-                && (!membership.isJoint() || membership.outgoing().size() >= leastVoters);
+    /** Whether the group has enough voters for committed entries to survive the tolerated losses. */
+    private boolean hasEnoughVoters() {
+        VoterConfig membership = raft.voterConfig();
+        return membership.voters().size() >= minVoters
+                && (!membership.isJoint() || membership.outgoing().size() >= minVoters);
     }
 
-    /** Whether a replica without a vote holds all that is decided; as a leader. */
+    /** Whether a replica without a vote has all committed entries; only known to the leader. */
     boolean isCaughtUp(String replica) {
-        return agreement.hasAllCommitted(replica);
+        return raft.hasAllCommitted(replica);
     }
 
     List<String> voters() {
-        return agreement.voters();
+        return raft.voters();
     }
 
-    /** Addresses of the nodes of all replicas. */
+    /** IP addresses of the nodes of all voters. */
     List<String> replicaAddresses() {
         return voters().stream().map(ReplicaNames::ip).toList();
     }
@@ -174,20 +173,21 @@
         return store.configuration().tenants();
     }
 
+    /** Whether the entry of the last membership change is committed. */
     boolean areVotersCommitted() {
-        return agreement.isVoterChangeCommitted();
+        return raft.isVoterChangeCommitted();
     }
 
     long generation() {
         return store.generation();
     }
 
-    /** The evacuated zones, by what is known to be committed. */
+    /** The evacuated zones, as of the last applied entry. */
     Evacuations evacuations() {
         return store.evacuations();
     }
 
-    /** The newest configuration that is known to be committed, for data nodes. */
+    /** The newest committed configuration, encoded for data nodes. */
     CommittedConfigMessages committed() {
         return committed;
     }
@@ -196,109 +196,109 @@
 
     void onMessage(String from, Message message) {
         if (halted || storage.isFull()) {
-            return; // as if it were lost: what matters comes again
+            return; // dropped as if lost in transit; Raft sends what matters again
         }
-        step("a message of " + from, () -> agreement.onMessage(scheduler.now(), from, message));
+        runStep("a message from " + from, () -> raft.onMessage(scheduler.now(), from, message));
     }
 
-    /** There is a new connection to another replica's node. */
+    /** Notes that a new connection to another replica's node has been opened. */
     void onReconnected(String ip) {
-        for (String replica : agreement.matchIndexes().keySet()) {
+        for (String replica : raft.matchIndexes().keySet()) {
             if (ReplicaNames.ip(replica).equals(ip)) {
-                agreement.onReconnected(scheduler.now(), replica);
+                raft.onReconnected(scheduler.now(), replica);
             }
         }
-        settle();
+        runDeferred();
     }
 
-    /** Tells which nodes can be reached, there and back: what matters before there was any leader. */
+    /** Sets the nodes connected in both directions, which matters until there has been a first leader. */
     void setReachable(Set<String> ips) {
-        agreement.setReachable(scheduler.now(), voters().stream().filter(v -> ips.contains(ReplicaNames.ip(v))).toList());
-        settle();
+        raft.setReachable(scheduler.now(), voters().stream().filter(v -> ips.contains(ReplicaNames.ip(v))).toList());
+        runDeferred();
     }
 
-    /** The orders that wait here. */
+    /** The queue of configuration updates that wait for a result here. */
     ConfigUpdateQueue orders() {
         return orders;
     }
 
-    /** Takes an order, as a leader. */
+    /** Submits a configuration update; its outcome is unclear if this replica is not a leader that can accept it. */
     void submit(ConfigOrder order, Consumer<ConfigUpdateQueue.Result> answer) {
         if (!isLeader() || orders.isFull() || storage.isFull()) {
             answer.accept(ConfigUpdateQueue.Result.unknown("no leader here that can take it"));
-        } else if (!isLargeEnough()) {
-            answer.accept(ConfigUpdateQueue.Result.unknown("fewer than " + leastVoters + " replicas so far"));
+        } else if (!hasEnoughVoters()) {
+            answer.accept(ConfigUpdateQueue.Result.unknown("fewer than " + minVoters + " replicas so far"));
         } else {
             orders.add(order, answer);
-            settle();
+            runDeferred();
         }
     }
 
-    /** Proposes an order about an evacuation, as a leader. */
+    /** Proposes to start or end the evacuation of a zone, as leader. */
     void submitEvacuation(EvacuationOrder order, Consumer<EvacuationOutcome> answer) {
-        boolean may = isLeader() && isLargeEnough() && !evacuationOrders.isFull() && !storage.isFull();
-        evacuationOrders.register(may ? agreement.propose(scheduler.now(), codec.encode(order)) : 0, answer);
-        settle();
+        boolean canPropose = isLeader() && hasEnoughVoters() && !evacuationOrders.isFull() && !storage.isFull();
+        evacuationOrders.register(canPropose ? raft.propose(scheduler.now(), codec.encode(order)) : 0, answer);
+        runDeferred();
     }
 
-    /** Has a majority confirm that this replica still leads. */
+    /** Runs one of the callbacks: once a majority has confirmed that this replica still leads, or if it does not lead. */
     void confirmLeadership(Runnable confirmed, Runnable lost) {
         if (!isLeader()) {
             lost.run();
             return;
         }
-        long round = agreement.confirmLeadership(scheduler.now());
+        long round = raft.confirmLeadership(scheduler.now());
         if (round == 0) {
             lost.run();
         } else {
-            questions.awaitRound(round, confirmed, lost);
+            leadershipWaiters.awaitRound(round, confirmed, lost);
         }
-        settle();
+        runDeferred();
     }
 
-    /** The entry up to which everything that was acknowledged before this call stands; negative where unknown. */
+    /** Passes on the read index: the entry that covers everything acknowledged before this call; negative if unknown. */
     void readIndex(LongConsumer answer) {
         boolean mayAnswer = !isElected() || isLeader() || halted;
-        if (mayAnswer || !questions.defer(() -> readIndex(answer))) {
-            confirmLeadership(() -> answer.accept(agreement.commitIndex()), () -> answer.accept(-1));
+        if (mayAnswer || !leadershipWaiters.defer(() -> readIndex(answer))) {
+            confirmLeadership(() -> answer.accept(raft.commitIndex()), () -> answer.accept(-1));
         }
     }
 
-    /** Runs a task once that entry is applied here. */
+    /** Runs a task once the entry is applied here. */
     void whenApplied(long index, Runnable task) {
-        applied.whenApplied(index, task);
+        appliedIndex.whenApplied(index, task);
     }
 
-    /** Sends the log to replicas without a vote; as a leader. */
+    /** Sets the replicas without a vote that receive the log; as leader. */
     void setLearners(List<String> names) {
-        agreement.setLearners(scheduler.now(), names);
-        settle();
+        raft.setLearners(scheduler.now(), names);
+        runDeferred();
     }
 
-    /** Puts another group of replicas in place of the current one, in one step; as a leader. */
+    /** Replaces the voters by another set in one joint consensus step; as leader. */
     void changeVoters(List<String> changed) {
-        if (agreement.proposeJointChange(changed) != 0) {
+        if (raft.proposeJointChange(changed) != 0) {
             LOG.log(System.Logger.Level.INFO, "replicas from now on: " + changed);
         }
-        settle();
+        runDeferred();
     }
 
-    /** Called regularly: a leader whose disk does not answer hands its part on. */
+    /** Called regularly: transfers leadership if the leader's disk does not respond. */
     void handOverIfDiskStalled() {
-        if (isLeader() && storage.stalledMs() > DISK_STALLED_MS && agreement.voters().size() > 1) {
+        if (isLeader() && storage.stalledMs() > DISK_STALLED_MS && raft.voters().size() > 1) {
             LOG.log(System.Logger.Level.WARNING, "the disk has not answered for " + storage.stalledMs()
                     + " ms: another replica is to lead");
             transferLeadership();
         }
     }
 
-    /** Asks another replica to lead, before this one stops. */
+    /** Transfers leadership to another replica, before this one stops. */
     void transferLeadership() {
-        agreement.transferLeadership(scheduler.now());
-        settle();
+        raft.transferLeadership(scheduler.now());
+        runDeferred();
     }
 
-    /** What waiting orders need of this replica. */
+    /** What the update queue needs from this replica. */
     private final class Leader implements ConfigUpdateQueue.Leader {
         @Override
         public void confirmLeadership(Runnable confirmed, Runnable lost) {
@@ -307,9 +307,9 @@
 
         @Override
         public long propose(ConfigChange change) {
-            boolean large = change.order().body().length > MOST_TYPED_BYTES;
-            long index = agreement.propose(scheduler.now(), codec.encode(large ? change.order() : change));
-            settle();
+            boolean large = change.order().body().length > MAX_TYPED_BYTES;
+            long index = raft.propose(scheduler.now(), codec.encode(large ? change.order() : change));
+            runDeferred();
             return index;
         }
 
@@ -319,59 +319,59 @@
         }
     }
 
-    // ---- the agreement's side
+    // ---- driving the Raft node
 
-    /** Carries out what was asked for, and sets the timer. */
-    private void settle() {
+    /** Runs the actions that the Raft node has requested, and sets its timer. */
+    private void runDeferred() {
         if (!deferred.runAll()) {
             return;
         }
         compact();
-        timer.schedule(agreement.due());
-        tellLeader();
+        timer.schedule(raft.due());
+        notifyLeaderKnown();
     }
 
-    private void tellLeader() {
-        String before = knownLeader;
-        knownLeader = isElected() && !isLeader() ? null : leader();
-        if (knownLeader != null && !knownLeader.equals(before)) {
-            surroundings.leaderKnown();
+    private void notifyLeaderKnown() {
+        String before = reportedLeader;
+        reportedLeader = isElected() && !isLeader() ? null : leader();
+        if (reportedLeader != null && !reportedLeader.equals(before)) {
+            environment.leaderKnown();
         }
     }
 
-    /** The agreement takes a step. One that fails has found what must not be, and it must not go on from there. */
-    private void step(String what, Runnable step) {
+    /** Runs one step of the Raft node. A failure means a violated invariant, so the replica halts. */
+    private void runStep(String what, Runnable runStep) {
         try {
-            step.run();
+            runStep.run();
         } catch (RuntimeException e) {
             halt("what follows from " + what, e);
         }
-        settle();
+        runDeferred();
     }
 
     private void compact() {
-        boolean due = agreement.committedSinceSnapshot() > COMPACT_AFTER_ENTRIES || bytesSinceSnapshot > COMPACT_AFTER_BYTES;
+        boolean due = raft.committedSinceSnapshot() > COMPACT_AFTER_ENTRIES || bytesSinceSnapshot > COMPACT_AFTER_BYTES;
         if (!due || halted || storage.isFull()) {
             return;
         }
         byte[] state = codec.encode(store.snapshot());
         if (state.length > RaftNode.MAX_SNAPSHOT_BYTES) {
-            LOG.log(System.Logger.Level.ERROR, "a state of " + state.length + " bytes is larger than a snapshot may be");
+            LOG.log(System.Logger.Level.ERROR, "a state of " + state.length + " bytes exceeds the snapshot size limit");
             bytesSinceSnapshot = 0;
             return;
         }
         bytesSinceSnapshot = 0;
-        agreement.compact(state);
+        raft.compact(state);
     }
 
     private void onTime() {
         if (!halted) {
-            step("time", () -> agreement.onTime(scheduler.now()));
+            runStep("time", () -> raft.onTime(scheduler.now()));
         }
     }
 
     private void restore(Snapshot snapshot) {
-        applied.advanceTo(snapshot.index());
+        appliedIndex.advanceTo(snapshot.index());
         if (snapshot.data().length == 0) {
             return;
         }
@@ -383,8 +383,8 @@
     }
 
     /**
-     * What was decided can't be read here: written by a later build, or by a fault. This replica must not go on without it,
-     * and has nothing to say any more; the others go on, and operators put in its place a build that can read it.
+     * Stops this replica for good because committed data can't be read here: it was written by a later build, or a fault
+     * corrupted it. The other replicas go on, and operators replace this build by one that can read the data.
      */
     private void halt(String what, Exception cause) {
         if (halted) {
@@ -393,10 +393,10 @@
         halted = true;
         LOG.log(System.Logger.Level.ERROR, what + " can't be taken in: this replica takes no part any more", cause);
         deferred.add(this::leadershipLost);
-        applied.discardWaiters();
+        appliedIndex.discardWaiters();
     }
 
-    /** Whether it has stopped for good, since it can't read what was decided. */
+    /** Whether this replica has stopped for good because it could not read committed data. */
     boolean isHalted() {
         return halted;
     }
@@ -407,18 +407,18 @@
         }
         if (entry.payload().length > 0) {
             try {
-                applyOrder(entry, codec.decodeStored(entry.payload(), Object.class));
+                applyUpdate(entry, codec.decodeStored(entry.payload(), Object.class));
             } catch (PeerCodec.MalformedMessageException | RuntimeException e) {
                 halt("entry " + entry.index(), e);
                 return;
             }
         }
-        applied.advanceTo(entry.index());
-        deferred.add(applied::runApplied);
+        appliedIndex.advanceTo(entry.index());
+        deferred.add(appliedIndex::runApplied);
     }
 
-    /** @param order examined by a leader, or as it was sent */
-    private void applyOrder(Entry entry, Object order) {
+    /** @param order an update validated by a leader, or one as it was received */
+    private void applyUpdate(Entry entry, Object order) {
         bytesSinceSnapshot += entry.payload().length;
         if (order instanceof EvacuationOrder evacuation) {
             applyEvacuation(entry, evacuation);
@@ -428,32 +428,32 @@
         Either<ConfigFault, Long> result = store.applyDecoded(order);
         orders.applied(entry.index(), result);
         if (store.generation() != before) {
-            deferred.add(() -> surroundings.configurationChanged(store.generation()));
-            deferred.add(() -> agreement.confirmLeadership(scheduler.now())); // its round tells the others at once
+            deferred.add(() -> environment.configurationChanged(store.generation()));
+            deferred.add(() -> raft.confirmLeadership(scheduler.now())); // the round informs the followers at once
         }
     }
 
     private void applyEvacuation(Entry entry, EvacuationOrder order) {
-        boolean taken = store.apply(order);
-        deferred.add(() -> evacuationOrders.applied(entry.index(), taken));
-        if (taken) {
-            deferred.add(() -> surroundings.evacuationsChanged(store.evacuations()));
-            deferred.add(() -> agreement.confirmLeadership(scheduler.now()));
+        boolean accepted = store.apply(order);
+        deferred.add(() -> evacuationOrders.applied(entry.index(), accepted));
+        if (accepted) {
+            deferred.add(() -> environment.evacuationsChanged(store.evacuations()));
+            deferred.add(() -> raft.confirmLeadership(scheduler.now()));
         }
     }
 
     private void leadershipLost() {
-        questions.leadershipLost();
+        leadershipWaiters.leadershipLost();
         evacuationOrders.leadershipLost();
         orders.leadershipLost();
     }
 
-    private final class AgreementActions implements RaftNode.Actions {
+    private final class RaftActions implements RaftNode.Actions {
         @Override
         public void send(String to, Message message) {
             deferred.add(() -> {
                 if (!halted) {
-                    surroundings.send(to, message);
+                    environment.send(to, message);
                 }
             });
         }
@@ -462,7 +462,7 @@
         public void store(long number, Write write) {
             storage.store(write, () -> {
                 if (!halted) {
-                    step("a write", () -> agreement.onStored(scheduler.now(), number));
+                    runStep("a write", () -> raft.onStored(scheduler.now(), number));
                 }
             });
         }
@@ -475,15 +475,15 @@
         @Override
         public void restore(Snapshot snapshot) {
             ReplicaGroup.this.restore(snapshot);
-            deferred.add(() -> surroundings.configurationChanged(store.generation()));
-            deferred.add(() -> surroundings.evacuationsChanged(store.evacuations()));
-            deferred.add(applied::runApplied);
+            deferred.add(() -> environment.configurationChanged(store.generation()));
+            deferred.add(() -> environment.evacuationsChanged(store.evacuations()));
+            deferred.add(appliedIndex::runApplied);
         }
 
         @Override
         public void becameLeader(long term) {
             LOG.log(System.Logger.Level.INFO, self + " leads term " + term);
-            deferred.add(questions::retryDeferred);
+            deferred.add(leadershipWaiters::retryDeferred);
         }
 
         @Override
@@ -494,7 +494,7 @@
 
         @Override
         public void roundConfirmed(long round) {
-            deferred.add(() -> questions.confirmed(round));
+            deferred.add(() -> leadershipWaiters.confirmed(round));
         }
     }
 }
--- a/src/main/java/routerfleet/control/ReplicaPlanner.java
+++ b/src/main/java/routerfleet/control/ReplicaPlanner.java
@@ -5,40 +5,40 @@
 import java.util.List;
 
 /**
- * Works out which replicas the group should have next. Each change is one step of the agreement (joint consensus):
+ * Plans the voters of the replica group. Each change is one joint consensus step:
  *
  * <ul>
- * <li>A member that is done with gives way to a control node that holds everything decided and has no vote yet. Done with
- *     is one whose node has come back with an empty disk, one that has said that it leaves, and one that has been silent
- *     for a while.
- * <li>Without a successor nobody goes: silence alone removes no one. Only a member that has said that it leaves goes
- *     without one, and only where the group is larger than the losses to be borne ask for.
- * <li>A group grows until it bears the losses that it has to, and no further: a member more may be one that is gone for
- *     good without a successor, and would then count for the majority for ever. Control nodes beyond that hold everything
- *     without a vote and are there to take a place.
- * <li>Places go to newcomers in the zones with the fewest members. Where zones may be lost and the loss of one would take
- *     the majority, one of its members gives way to a newcomer of another zone.
+ * <li>A departing member is replaced by a learner: a connected control node that has all committed entries but no vote yet.
+ *     A member is departing if its node has returned with an empty disk, has announced its shutdown, or has been
+ *     disconnected for {@value #REPLACE_AFTER_MS} ms.
+ * <li>No member is removed without a successor; being disconnected is never enough. The only exception is a member that has
+ *     announced its shutdown while the group is larger than the tolerated losses require.
+ * <li>The group grows to the size that the tolerated losses require, and no further: an additional member that was lost for
+ *     good without a successor would count towards the majority for ever. Further control nodes stay learners, ready to
+ *     replace a member.
+ * <li>A vacancy goes to a learner in the zone with the fewest members. If zone losses are to be tolerated and the loss of a
+ *     single zone would take the majority, one of its members is replaced by a learner of another zone.
  * </ul>
  *
- * <p>So the group never has fewer than 2 f + 1 members once it had them, and what is decided is on f + 1 disks at least.
+ * <p>So the group never shrinks below 2 f + 1 members once it has them, and committed entries are on at least f + 1 disks.
  */
 class ReplicaPlanner {
-    private static final int LEAST_REPLICAS = 3;
-    /** A replica that has been silent for so long gives way to a newcomer. */
+    private static final int MIN_REPLICAS = 3;
+    /** A member that has been disconnected for this long is replaced by a learner. */
     static final long REPLACE_AFTER_MS = 1_500;
 
-    /** Which control nodes are there. */
+    /** The leader's view of the control nodes. */
     interface ClusterView {
-        /** Names of the replicas of the other control nodes that are connected. */
+        /** Names of the replicas on the other connected control nodes. */
         List<String> connectedReplicas();
 
-        /** Whether a replica without a vote holds all that is decided. */
+        /** Whether a replica without a vote has all committed entries. */
         boolean isCaughtUp(String replica);
 
-        /** Whether a replica's node has said that it is about to stop. */
+        /** Whether a replica's node has announced its shutdown. */
         boolean isLeaving(String replica);
 
-        /** The zone of the control node at an address; null where it is not known. */
+        /** The zone of the control node at an address; null if unknown. */
         String zone(String ip);
 
         /** For how long the control node at an address has not been connected, in milliseconds; 0 while it is. */
@@ -47,64 +47,69 @@
 
     private final String self;
     private final int wantedReplicas;
-    private final boolean bearsZoneLoss;
+    private final boolean toleratesZoneLoss;
 
     /**
      * @param self name of this node's replica
-     * @param toleratedHosts how many control nodes may be lost at once
-     * @param toleratedZones how many zones may be
+     * @param toleratedHosts how many control nodes may be lost at the same time
+     * @param toleratedZones how many zones may be lost at the same time
      */
     ReplicaPlanner(String self, int toleratedHosts, int toleratedZones) {
         this.self = self;
-        wantedReplicas = Math.max(LEAST_REPLICAS, 2 * toleratedHosts + 1);
-        bearsZoneLoss = toleratedZones > 0;
+        wantedReplicas = Math.max(MIN_REPLICAS, 2 * toleratedHosts + 1);
+        toleratesZoneLoss = toleratedZones > 0;
     }
 
-    /** @return the replicas that the group should have next; the same list where nothing is to be changed */
-    List<String> planMembers(List<String> replicas, ClusterView presence) {
-        List<String> newcomers = new ArrayList<>();
-        for (String newcomer : learners(replicas, presence)) {
-            if (presence.isCaughtUp(newcomer) && !presence.isLeaving(newcomer)) {
-                newcomers.add(newcomer);
+    /** @return the voters that the group should have next; an equal list if nothing is to be changed */
+    List<String> planMembers(List<String> replicas, ClusterView view) {
+        List<String> learners = new ArrayList<>();
+        for (String learner : learners(replicas, view)) {
+            if (view.isCaughtUp(learner) && !view.isLeaving(learner)) {
+                learners.add(learner);
             }
         }
         List<String> next = new ArrayList<>(replicas);
-        for (String done : doneWith(replicas, presence)) {
-            if (!newcomers.isEmpty()) {
-                next.set(next.indexOf(done), take(newcomers, next, done, presence));
-            } else if (presence.isLeaving(done) && next.size() > wantedReplicas) {
-                next.remove(done);
+        for (String departing : membersToReplace(replicas, view)) {
+            if (!learners.isEmpty()) {
+                next.set(next.indexOf(departing), removeBestLearner(learners, next, departing, view));
+            } else if (view.isLeaving(departing) && next.size() > wantedReplicas) {
+                next.remove(departing);
             }
         }
-        while (next.size() < wantedReplicas && !newcomers.isEmpty()) {
-            next.add(take(newcomers, next, null, presence));
+        while (next.size() < wantedReplicas && !learners.isEmpty()) {
+            next.add(removeBestLearner(learners, next, null, view));
         }
-        return bearsZoneLoss && next.equals(replicas) ? spread(next, newcomers, presence) : next;
+        return toleratesZoneLoss && next.equals(replicas) ? spreadOverZones(next, learners, view) : next;
     }
 
-    /** The newcomer in whose zone the fewest members are, without the one that gives way. */
-    private static String take(List<String> newcomers, List<String> members, String done, ClusterView presence) {
+    /**
+     * Removes and returns the learner whose zone has the fewest members.
+     *
+     * @param departing the member to be replaced, which is not counted; null for none
+     */
+    private static String removeBestLearner(List<String> learners, List<String> members, String departing,
+            ClusterView view) {
         List<String> staying = new ArrayList<>(members);
-        staying.remove(done);
-        String best = newcomers.stream().min(Comparator.comparingLong(n -> inZone(zone(n, presence), staying, presence)))
+        staying.remove(departing);
+        String best = learners.stream().min(Comparator.comparingLong(n -> countInZone(zone(n, view), staying, view)))
                 .orElseThrow();
-        newcomers.remove(best);
+        learners.remove(best);
         return best;
     }
 
-    /** Where a zone's loss would take the majority, one of its members gives way to a newcomer of another zone. */
-    private List<String> spread(List<String> replicas, List<String> newcomers, ClusterView presence) {
+    /** If the loss of one zone would take the majority, replaces one of its members by a learner of another zone. */
+    private List<String> spreadOverZones(List<String> replicas, List<String> learners, ClusterView view) {
         for (String member : replicas) {
-            String crowded = zone(member, presence);
-            boolean takesMajority = replicas.size() - inZone(crowded, replicas, presence) <= replicas.size() / 2;
-            if (crowded == null || member.equals(self) || !takesMajority) {
+            String crowdedZone = zone(member, view);
+            boolean takesMajority = replicas.size() - countInZone(crowdedZone, replicas, view) <= replicas.size() / 2;
+            if (crowdedZone == null || member.equals(self) || !takesMajority) {
                 continue;
             }
-            for (String newcomer : newcomers) {
-                String zone = zone(newcomer, presence);
-                if (zone != null && inZone(zone, replicas, presence) + 1 < inZone(crowded, replicas, presence)) {
+            for (String learner : learners) {
+                String zone = zone(learner, view);
+                if (zone != null && countInZone(zone, replicas, view) + 1 < countInZone(crowdedZone, replicas, view)) {
                     List<String> next = new ArrayList<>(replicas);
-                    next.set(next.indexOf(member), newcomer);
+                    next.set(next.indexOf(member), learner);
                     return next;
                 }
             }
@@ -112,51 +117,51 @@
         return replicas;
     }
 
-    private static String zone(String replica, ClusterView presence) {
-        return presence.zone(ReplicaNames.ip(replica));
+    private static String zone(String replica, ClusterView view) {
+        return view.zone(ReplicaNames.ip(replica));
     }
 
-    private static long inZone(String zone, List<String> replicas, ClusterView presence) {
-        return zone == null ? 0 : replicas.stream().filter(r -> zone.equals(zone(r, presence))).count();
+    private static long countInZone(String zone, List<String> replicas, ClusterView view) {
+        return zone == null ? 0 : replicas.stream().filter(r -> zone.equals(zone(r, view))).count();
     }
 
-    /** Control nodes that are connected and have no vote. */
-    static List<String> learners(List<String> replicas, ClusterView presence) {
-        List<String> newcomers = new ArrayList<>();
-        for (String replica : presence.connectedReplicas()) {
-            if (!replicas.contains(replica) && !newcomers.contains(replica)) {
-                newcomers.add(replica);
+    /** The replicas on connected control nodes that have no vote. */
+    static List<String> learners(List<String> replicas, ClusterView view) {
+        List<String> learners = new ArrayList<>();
+        for (String replica : view.connectedReplicas()) {
+            if (!replicas.contains(replica) && !learners.contains(replica)) {
+                learners.add(replica);
             }
         }
-        return newcomers;
+        return learners;
     }
 
-    /** Members that are to give way: first those whose disks are lost, then those that leave, then the silent ones. */
-    private List<String> doneWith(List<String> replicas, ClusterView presence) {
+    /** Members to be replaced: first those whose disks are lost, then those that leave, then the disconnected ones. */
+    private List<String> membersToReplace(List<String> replicas, ClusterView view) {
         List<String> lost = new ArrayList<>();
         List<String> leaving = new ArrayList<>();
-        List<String> silent = new ArrayList<>();
+        List<String> disconnected = new ArrayList<>();
         for (String replica : replicas) {
             if (replica.equals(self)) {
                 continue;
             }
-            if (hasLostItsDisk(replica, presence)) {
+            if (hasLostDisk(replica, view)) {
                 lost.add(replica);
-            } else if (presence.isLeaving(replica)) {
+            } else if (view.isLeaving(replica)) {
                 leaving.add(replica);
-            } else if (presence.disconnectedMs(ReplicaNames.ip(replica)) >= REPLACE_AFTER_MS) {
-                silent.add(replica);
+            } else if (view.disconnectedMs(ReplicaNames.ip(replica)) >= REPLACE_AFTER_MS) {
+                disconnected.add(replica);
             }
         }
         lost.addAll(leaving);
-        lost.addAll(silent);
+        lost.addAll(disconnected);
         return lost;
     }
 
-    /** Whether its node, which may be this one, has come back as another replica, with an empty disk. */
-    private boolean hasLostItsDisk(String replica, ClusterView presence) {
+    /** Whether the replica's node, possibly this one, has returned as a new replica with an empty disk. */
+    private boolean hasLostDisk(String replica, ClusterView view) {
         String ip = ReplicaNames.ip(replica);
         return ReplicaNames.ip(self).equals(ip)
-                || presence.connectedReplicas().stream().anyMatch(r -> !r.equals(replica) && ReplicaNames.ip(r).equals(ip));
+                || view.connectedReplicas().stream().anyMatch(r -> !r.equals(replica) && ReplicaNames.ip(r).equals(ip));
     }
 }
--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -16,56 +16,56 @@
 import routerfleet.wire.PeerCodec;
 
 /**
- * A replica's state on disk: two slots that are written in turn, each a snapshot with a short log behind it. A new
- * snapshot goes whole into the slot that is not in use, is synced, and only then takes over; so whatever is interrupted,
- * one slot is whole. Each write is synced before the next one begins.
+ * A replica's state on disk. There are two slot files, used alternately, each with a snapshot followed by a short log. A
+ * new snapshot is written completely into the slot that is not in use and synced before that slot becomes the current one,
+ * so that one slot is intact whatever is interrupted. Each write is synced before the next one begins.
  *
- * <p>Writes are made on a thread of their own ({@link DiskWriter}), so that a slow or hanging disk does not hold up the
- * replica. A write that the disk refuses is tried again until it succeeds; nothing behind it is told to be stored before.
+ * <p>Writes run on a thread of their own ({@link DiskWriter}), so that a slow or hanging disk does not block the replica. A
+ * failed write is retried until it succeeds; no later write is reported as stored before it.
  *
- * <p>Bound: who finds {@link #isFull} asks for no more writes until it is not.
+ * <p>Bound: callers must not add writes while {@link #isFull} is true.
  */
 class ReplicaStorage implements Closeable {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.storage");
     private static final int SLOTS = 2;
     private static final long RETRY_MS = 100;
-    private static final int MOST_WAITING = 256;
-    private static final long MOST_WAITING_BYTES = 16L << 20;
+    private static final int MAX_PENDING = 256;
+    private static final long MAX_PENDING_BYTES = 16L << 20;
 
     /**
-     * What a disk held at the start.
+     * The state found on disk at startup.
      *
-     * @param replica the name of the replica whose state it is
+     * @param replica the name of the replica that wrote the state
      */
     record StoredReplica(String replica, PersistentState saved) { }
 
-    private record Job(Write write, Runnable stored) { }
+    private record PendingWrite(Write write, Runnable onStored) { }
 
     private final Disk disk;
     private final Executor loop;
     private final DiskWriter writer;
-    /** Whether the folder's entry of a slot is known to be synced: else the slot may be lost whole with the power. */
-    private final boolean[] entered = new boolean[SLOTS];
-    /** Guarded by itself, as what follows it. */
-    private final Deque<Job> waiting = new ArrayDeque<>();
-    private long waitingBytes;
+    /** Whether a slot's directory entry is known to be synced; otherwise a power loss may remove the whole slot. */
+    private final boolean[] directoryEntrySynced = new boolean[SLOTS];
+    /** Its monitor guards it and the next three fields. */
+    private final Deque<PendingWrite> pending = new ArrayDeque<>();
+    private long pendingBytes;
     private boolean writing;
-    /** Since when the write that is under way has not come back, on the writer's clock; negative for none. */
+    /** When the write in progress began, in milliseconds of the writer's clock; negative if there is none. */
     private long writingSinceMs = -1;
     private volatile boolean closed;
 
-    /** What follows is used by the writer only, once it has begun. */
+    /** This and the following fields are used by the writer thread only, once it has started. */
     private String replica;
     private int slot;
     private long slotSequence;
     private Disk.DiskFile file;
     private long length;
-    private int chain;
+    private int lastChecksum;
     private boolean warned;
 
-    /** @param loop where it is told that something is stored */
-    ReplicaStorage(Path folder, Executor loop) {
-        this(new DirectoryDisk(folder), loop, new DiskWriter.SingleThread());
+    /** @param loop runs the callbacks for completed writes */
+    ReplicaStorage(Path directory, Executor loop) {
+        this(new DirectoryDisk(directory), loop, new DiskWriter.SingleThread());
     }
 
     ReplicaStorage(Disk disk, Executor loop, DiskWriter writer) {
@@ -74,7 +74,7 @@
         this.writer = writer;
     }
 
-    /** @return what the newer whole slot holds; null where there is none: the disk is empty */
+    /** Reads the newest intact slot. @return null if there is none, so that the disk counts as empty */
     StoredReplica open() throws IOException {
         VoterFileCodec.Recovered newest = null;
         for (int i = 0; i < SLOTS; i++) {
@@ -91,22 +91,27 @@
         }
         replica = newest.node();
         length = newest.length();
-        chain = newest.chain();
+        lastChecksum = newest.chain();
         file = disk.open(slotName(slot));
         return new StoredReplica(replica, newest.saved());
     }
 
-    /** The servers last known, on the same disk and written by the same thread. */
+    /** The storage of the last known servers, on the same disk and written by the same thread. */
     SessionStorage sessionHints(PeerCodec codec) {
         return new SessionStorage(disk, writer, loop, codec);
     }
 
-    /** The journal of tallies, on the same disk and written by the same thread. */
+    /** The storage of tallies, on the same disk and written by the same thread. */
     TallyStorage tallyStorage() {
         return new TallyStorage(disk, writer, loop);
     }
 
-    /** Begins to write. @param name the replica's; @param initial written first where the disk was empty, else null */
+    /**
+     * Starts accepting writes.
+     *
+     * @param name the replica's name
+     * @param initial the state to write first if the disk was empty, otherwise null
+     */
     void start(String name, PersistentState initial) {
         replica = name;
         if (initial != null) {
@@ -115,46 +120,46 @@
     }
 
     /**
-     * Begins to write, and has the first state on disk before it returns: a founder that is killed after that comes back as
-     * the same replica.
+     * Starts accepting writes, and stores the initial state synchronously. A node that is killed after its first start thus
+     * returns as the same replica.
      *
-     * @throws IOException if the disk refuses it; may be tried again
+     * @throws IOException if the state could not be stored; the call may be repeated
      */
     void storeInitial(String name, PersistentState initial) throws IOException {
         replica = name;
-        write(List.of(new Job(new Write.FullState(initial), () -> { })));
+        write(List.of(new PendingWrite(new Write.FullState(initial), () -> { })));
     }
 
-    /** @param stored run on the loop once the write and all before it are synced */
-    void store(Write write, Runnable stored) {
-        synchronized (waiting) {
-            waiting.add(new Job(write, stored));
-            waitingBytes += write.bytes();
+    /** Queues a write. @param onStored run on the loop once this write and all earlier ones are synced */
+    void store(Write write, Runnable onStored) {
+        synchronized (pending) {
+            pending.add(new PendingWrite(write, onStored));
+            pendingBytes += write.bytes();
             if (writing) {
                 return;
             }
             writing = true;
         }
-        writer.execute(this::writeWaiting);
+        writer.execute(this::writePending);
     }
 
-    /** How many writes wait for the disk. */
+    /** The number of queued writes that the disk has not started. */
     int pendingWrites() {
-        synchronized (waiting) {
-            return waiting.size();
+        synchronized (pending) {
+            return pending.size();
         }
     }
 
-    /** Whether so much waits for the disk that nothing more is to be added. */
+    /** Whether the limit on the number or total size of queued writes is reached. */
     boolean isFull() {
-        synchronized (waiting) {
-            return waiting.size() >= MOST_WAITING || waitingBytes >= MOST_WAITING_BYTES;
+        synchronized (pending) {
+            return pending.size() >= MAX_PENDING || pendingBytes >= MAX_PENDING_BYTES;
         }
     }
 
-    /** For how long the write that is under way has not come back, in milliseconds; 0 where none is. */
+    /** For how long the write in progress has been running, in milliseconds; 0 if there is none. */
     long stalledMs() {
-        synchronized (waiting) {
+        synchronized (pending) {
             return writingSinceMs < 0 ? 0 : writer.monotonicMs() - writingSinceMs;
         }
     }
@@ -167,18 +172,18 @@
         return Long.parseLong(recovered.fleet());
     }
 
-    private void writeWaiting() {
-        List<Job> batch;
-        synchronized (waiting) {
-            batch = new ArrayList<>(waiting);
-            waiting.clear();
-            waitingBytes = 0;
+    private void writePending() {
+        List<PendingWrite> batch;
+        synchronized (pending) {
+            batch = new ArrayList<>(pending);
+            pending.clear();
+            pendingBytes = 0;
             writingSinceMs = writer.monotonicMs();
         }
-        writeUntilDone(batch);
+        writeWithRetries(batch);
     }
 
-    private void writeUntilDone(List<Job> batch) {
+    private void writeWithRetries(List<PendingWrite> batch) {
         if (closed) {
             return;
         }
@@ -186,38 +191,38 @@
             write(batch);
         } catch (IOException e) {
             if (!warned) {
-                LOG.log(System.Logger.Level.WARNING, "disk refuses writes, trying again: " + e.getMessage());
+                LOG.log(System.Logger.Level.WARNING, "disk write failed, retrying: " + e.getMessage());
             }
             warned = true;
-            writer.executeAfter(RETRY_MS, () -> writeUntilDone(batch));
+            writer.executeAfter(RETRY_MS, () -> writeWithRetries(batch));
             return;
         }
         if (warned) {
-            LOG.log(System.Logger.Level.INFO, "disk takes writes again");
+            LOG.log(System.Logger.Level.INFO, "disk writes succeed again");
             warned = false;
         }
-        loop.execute(() -> batch.forEach(job -> job.stored().run()));
+        loop.execute(() -> batch.forEach(queued -> queued.onStored().run()));
         boolean more;
-        synchronized (waiting) {
+        synchronized (pending) {
             writingSinceMs = -1;
-            writing = !waiting.isEmpty();
+            writing = !pending.isEmpty();
             more = writing;
         }
         if (more) {
-            writer.execute(this::writeWaiting);
+            writer.execute(this::writePending);
         }
     }
 
-    private void write(List<Job> batch) throws IOException {
+    private void write(List<PendingWrite> batch) throws IOException {
         int from = 0;
         for (int i = 0; i < batch.size(); i++) {
             if (batch.get(i).write() instanceof Write.FullState) {
-                from = i; // it takes the place of all that was written before it
+                from = i; // a full state replaces all earlier writes
             }
         }
-        List<Job> rest = batch.subList(from, batch.size());
-        if (rest.get(0).write() instanceof Write.FullState whole) {
-            switchSlot(whole);
+        List<PendingWrite> rest = batch.subList(from, batch.size());
+        if (rest.get(0).write() instanceof Write.FullState state) {
+            switchSlot(state);
             rest = rest.subList(1, rest.size());
         }
         if (!rest.isEmpty()) {
@@ -225,13 +230,13 @@
         }
     }
 
-    private void append(List<Job> jobs) throws IOException {
-        int newChain = chain;
+    private void append(List<PendingWrite> writes) throws IOException {
+        int newChecksum = lastChecksum;
         List<byte[]> records = new ArrayList<>();
         int size = 0;
-        for (Job job : jobs) {
-            VoterFileCodec.Encoded written = VoterFileCodec.write(newChain, job.write());
-            newChain = written.chain();
+        for (PendingWrite queued : writes) {
+            VoterFileCodec.Encoded written = VoterFileCodec.write(newChecksum, queued.write());
+            newChecksum = written.chain();
             records.add(written.bytes());
             size += written.bytes().length;
         }
@@ -239,43 +244,43 @@
         records.forEach(bytes::put);
         file.write(length, bytes.flip());
         file.sync();
-        syncEntry(slot); // the process before may have ended between making the slot and syncing the folder
+        syncDirectoryEntry(slot); // a previous process may have ended before syncing the directory
         length += size;
-        chain = newChain;
+        lastChecksum = newChecksum;
     }
 
-    private void switchSlot(Write.FullState whole) throws IOException {
+    private void switchSlot(Write.FullState state) throws IOException {
         int other = nextSlot(slot);
-        VoterFileCodec.Encoded written = VoterFileCodec.replacement(Long.toString(slotSequence + 1), replica, whole);
-        Disk.DiskFile fresh = disk.open(slotName(other));
+        VoterFileCodec.Encoded written = VoterFileCodec.replacement(Long.toString(slotSequence + 1), replica, state);
+        Disk.DiskFile newFile = disk.open(slotName(other));
         try {
-            fresh.truncate();
-            fresh.write(0, ByteBuffer.wrap(written.bytes()));
-            fresh.sync();
-            syncEntry(other);
+            newFile.truncate();
+            newFile.write(0, ByteBuffer.wrap(written.bytes()));
+            newFile.sync();
+            syncDirectoryEntry(other);
         } catch (IOException e) {
-            fresh.close();
+            newFile.close();
             throw e;
         }
         if (file != null) {
             file.close();
         }
-        file = fresh;
+        file = newFile;
         slot = other;
         slotSequence++;
         length = written.bytes().length;
-        chain = written.chain();
+        lastChecksum = written.chain();
     }
 
-    /** The slot that a snapshot goes into. @param inUse the one that holds the newest whole state */
+    /** The slot that the next snapshot is written to. @param inUse the slot with the newest intact state */
     int nextSlot(int inUse) {
         return (inUse + 1) % SLOTS;
     }
 
-    private void syncEntry(int index) throws IOException {
-        if (!entered[index]) {
+    private void syncDirectoryEntry(int index) throws IOException {
+        if (!directoryEntrySynced[index]) {
             disk.syncDirectory();
-            entered[index] = true;
+            directoryEntrySynced[index] = true;
         }
     }
 
--- a/src/test/java/routerfleet/control/ControlPlaneSimulation.java
+++ b/src/test/java/routerfleet/control/ControlPlaneSimulation.java
@@ -16,20 +16,21 @@
 import routerfleet.wire.PeerCodec;
 
 /**
- * A whole control plane in virtual time: real control services on simulated machines, data nodes' view of them, operators,
- * readers and servers, and faults of all kinds that the operators' pages name. What its clients saw is judged by
- * {@link HistoryChecker}; in the end all machines are well, and the plane has to serve again.
+ * Simulates a complete control plane in virtual time: real control services on simulated machines, the control clients of
+ * data nodes, operators, readers and servers, and all kinds of faults that the operators' documentation names.
+ * {@link HistoryChecker} checks what the clients observed. At the end all faults are over, and the control plane has to
+ * serve again.
  */
 final class ControlPlaneSimulation {
     static final long FAULTS_FROM_MS = 2_500;
     private static final long FAULTS_MS = 30_000;
-    /** After all machines are back, until the plane has to serve. */
+    /** The time from the end of all faults until the control plane has to serve. */
     private static final long RECOVERY_MS = 12_000;
     private static final long CHECK_MS = 100;
-    /** A lost disk is made up for once everything has been well for so long. */
+    /** A lost disk counts as replaced once all machines have been healthy for this long. */
     private static final long CATCH_UP_MS = 4_000;
     private static final long DRAIN_MS = 2_000;
-    private static final long CALM_MS = 3_000;
+    private static final long SETTLED_MS = 3_000;
     private static final int DATA_NODES = 2;
     private static final int FINAL_READS = 4;
     private static final long FINAL_READ_MS = 1_000;
@@ -37,7 +38,7 @@
     private static final int LARGE_FILLER = 60_000;
 
     private final VirtualWorld world = new VirtualWorld();
-    private final Observations seen = new Observations();
+    private final Observations observations = new Observations();
     private final int tolerated;
     private final boolean firstConfigurationUnconfirmed;
     private final SplittableRandom random;
@@ -47,12 +48,12 @@
     private final List<DataNode> dataNodes = new ArrayList<>();
     private final SimulatedClients clients;
     private final FaultInjector faults;
-    private final Set<String> reported = new HashSet<>();
-    private int lastMachine;
-    private long wellSinceMs;
+    private final Set<String> reportedViolations = new HashSet<>();
+    private int machinesCreated;
+    private long healthySinceMs;
     private long faultsEndMs;
 
-    /** A data node's machine. */
+    /** A data node's machine with its control client. */
     private final class DataNode {
         private final String ip;
         private VirtualProcess process;
@@ -66,7 +67,7 @@
 
         void start() {
             startedMs = world.nowMs();
-            newestAtStart = seen.newestAcknowledged();
+            newestAtStart = observations.newestAcknowledged();
             process = new VirtualProcess(world, random.nextLong() >> 2, () -> { });
             LocalSettings settings = new LocalSettings("data-" + ip, ip, "a", null, null, null,
                     SimulatedMachine.INTERNAL_PORT, seeds(), true, null, SimulatedMachine.HEARTBEAT_MS, tolerated, 0,
@@ -91,7 +92,7 @@
         surroundings = new SimulatedMachine.Environment(world, network, codec, tolerated, fault);
         SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault);
         int filler = random.nextInt(8) == 0 ? LARGE_FILLER : FILLER;
-        clients = new SimulatedClients(world, random.nextLong(), http, this::presentMachines, seen, filler,
+        clients = new SimulatedClients(world, random.nextLong(), http, this::presentMachines, observations, filler,
                 filler == FILLER && random.nextInt(4) == 0);
         faults = new FaultInjector(this, world, network, http, clients, new Random(random.nextLong()));
         faultsEndMs = FAULTS_FROM_MS + FAULTS_MS;
@@ -104,14 +105,14 @@
         plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.inject(f)));
     }
 
-    /** Codecs cost much to make, and are for one thread. */
+    /** Codecs are expensive to create and not thread-safe. */
     private static final ThreadLocal<PeerCodec> CODEC = ThreadLocal.withInitial(PeerCodec::new);
 
     static FaultPlan randomPlan(long seed) {
         return FaultPlan.random(seed * 31 + 7, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
     }
 
-    /** Plays it. @return what was wrong, in one line; null where nothing was */
+    /** Runs the simulation. @return the first violation, in one line; null if there was none */
     String run() {
         List<HostPort> founders = seeds();
         machines.forEach(m -> world.afterMs(random.nextInt(300), () -> m.start(true, founders)));
@@ -121,63 +122,71 @@
         world.runUntilMs(faultsEndMs);
         faults.endAll();
         world.runUntilMs(world.nowMs() + RECOVERY_MS);
-        String wrong = HistoryChecker.check(seen);
-        return wrong != null ? wrong : served();
+        String wrong = HistoryChecker.check(observations);
+        return wrong != null ? wrong : checkServing();
     }
 
     Observations observations() {
-        return seen;
+        return observations;
     }
 
-    /** Whether the plane takes orders and every member of its group answers reads, now that all are well. */
-    private String served() {
+    /**
+     * Checks after the recovery that updates are accepted and enough control nodes answer reads.
+     *
+     * @return the violation or null
+     */
+    private String checkServing() {
         long before = world.nowNanos();
-        long newest = seen.newestAcknowledged();
-        int readsBefore = seen.reads.size();
+        long newest = observations.newestAcknowledged();
+        int readsBefore = observations.reads.size();
         List<HostPort> now = seeds();
         for (int i = 0; i < FINAL_READS; i++) {
             presentMachines().forEach(machine -> clients.readAt(machine, generation -> { }));
             world.runUntilMs(world.nowMs() + FINAL_READ_MS);
         }
         Set<String> readers = new HashSet<>();
-        for (Observations.Read read : seen.reads.subList(readsBefore, seen.reads.size())) {
+        for (Observations.Read read : observations.reads.subList(readsBefore, observations.reads.size())) {
             readers.add(read.node());
         }
-        boolean ordered = seen.updates.values().stream().anyMatch(o -> o.acknowledgedNanos() > before - 4_000_000_000L);
+        boolean updated = observations.updates.values().stream()
+                .anyMatch(o -> o.acknowledgedNanos() > before - 4_000_000_000L);
         if (readers.size() < 2 * tolerated + 1) {
-            return "of " + presentMachines().size() + " only " + readers + " answer reads after the recovery; "
+            return "of " + presentMachines().size() + " control nodes only " + readers
+                    + " answer reads after the recovery; "
                     + presentMachines().stream().map(SimulatedMachine::describe).toList();
         }
-        if (!ordered) {
-            return "no order is acknowledged after the recovery; newest " + newest + ", seeds " + now;
+        if (!updated) {
+            return "no update is acknowledged after the recovery; newest " + newest + ", seeds " + now;
         }
-        return HistoryChecker.check(seen);
+        return HistoryChecker.check(observations);
     }
 
     // ---- machines
 
     SimulatedMachine addMachine() {
-        SimulatedMachine machine = new SimulatedMachine("10.0.0." + ++lastMachine, surroundings, random.nextLong());
+        SimulatedMachine machine = new SimulatedMachine("10.0.0." + ++machinesCreated, surroundings, random.nextLong());
         machines.add(machine);
         return machine;
     }
 
-    /** Machines that are not gone for good. */
+    /** The machines that have not been removed for good. */
     List<SimulatedMachine> presentMachines() {
         return machines.stream().filter(m -> !m.isRemoved()).toList();
     }
 
-    /** The first three machines that are not gone for good. */
+    /** The addresses of the first three machines that have not been removed for good. */
     List<HostPort> seeds() {
         return presentMachines().stream().limit(3).map(m -> new HostPort(m.ip, SimulatedMachine.INTERNAL_PORT)).toList();
     }
 
-    /** Something has happened that the group has to make up for, though all that are left are well. */
+    /**
+     * Restarts the time that lost disks need to be replaced, for a loss that the remaining machines' health doesn't show.
+     */
     void markUnhealthy() {
-        wellSinceMs = world.nowMs();
+        healthySinceMs = world.nowMs();
     }
 
-    /** Whether one more disk may be lost now. */
+    /** Whether another disk may be lost now without exceeding the tolerated losses. */
     boolean mayLoseDisk() {
         return machines.stream().filter(SimulatedMachine::diskLossPending).count() < tolerated;
     }
@@ -203,7 +212,7 @@
 
     // ---- regular checks
 
-    /** Prints each node's part in the group from now on, again and again, and each fault: to look into a broken case. */
+    /** Prints the state of every replica now and at the given interval, to analyze a failing run. */
     ControlPlaneSimulation withTrace(long everyMs) {
         System.out.println(world.nowMs() + " " + machines.stream().filter(m -> !m.isRemoved())
                 .map(SimulatedMachine::describe).toList() + " disks lost "
@@ -213,41 +222,44 @@
     }
 
     private void check() {
-        boolean allWell = presentMachines().stream().allMatch(SimulatedMachine::isHealthy) && faults.hasNoActiveFault();
-        if (!allWell) {
-            wellSinceMs = world.nowMs();
-        } else if (world.nowMs() - wellSinceMs >= CATCH_UP_MS) {
+        boolean allHealthy = presentMachines().stream().allMatch(SimulatedMachine::isHealthy) && faults.hasNoActiveFault();
+        if (!allHealthy) {
+            healthySinceMs = world.nowMs();
+        } else if (world.nowMs() - healthySinceMs >= CATCH_UP_MS) {
             machines.forEach(m -> m.diskLossPending(false));
         }
         for (DataNode node : dataNodes) {
             if (node.client != null) {
-                seen.dataNodeStates.add(new Observations.DataNodeState(node.ip, world.nowNanos(), node.client.generation(),
-                        node.client.staleMs()));
-                checkEndings(node);
-                checkServes(node);
+                observations.dataNodeStates.add(new Observations.DataNodeState(node.ip, world.nowNanos(),
+                        node.client.generation(), node.client.staleMs()));
+                checkAcknowledgedEnds(node);
+                checkServedVersion(node);
             }
         }
         world.afterMs(CHECK_MS, this::check);
     }
 
-    /** A data node that serves knows at least what was acknowledged before it started. */
-    private void checkServes(DataNode node) {
+    /** A data node must not serve by a version older than the newest one acknowledged before it started. */
+    private void checkServedVersion(DataNode node) {
         long generation = node.client.generation();
         boolean serves = generation > 0 && (firstConfigurationUnconfirmed || node.client.mayServe());
-        if (serves && generation < node.newestAtStart && reported.add(node.ip + node.startedMs)) {
-            seen.violations.add(node.ip + " serves by version " + generation + ", and " + node.newestAtStart
+        if (serves && generation < node.newestAtStart && reportedViolations.add(node.ip + node.startedMs)) {
+            observations.violations.add(node.ip + " serves by version " + generation + ", but " + node.newestAtStart
                     + " was acknowledged before it started");
         }
     }
 
-    /** What has said that it ends is not used by a data node that is in touch, from a while after it was acknowledged. */
-    private void checkEndings(DataNode node) {
+    /**
+     * A connected data node must not list a server any more from {@value #DRAIN_MS} ms after its drain or deregistration
+     * was acknowledged.
+     */
+    private void checkAcknowledgedEnds(DataNode node) {
         long now = world.nowMs();
-        boolean inTouch = now - wellSinceMs >= CALM_MS && now - node.startedMs >= CALM_MS;
+        boolean isConnected = now - healthySinceMs >= SETTLED_MS && now - node.startedMs >= SETTLED_MS;
         for (SimulatedClients.AcknowledgedEnd ending : clients.acknowledgedEnds()) {
-            if (inTouch && now - ending.acknowledgedMs() > DRAIN_MS && node.client.isListed(ending.uid())
-                    && reported.add(ending.uid())) {
-                seen.violations.add(node.ip + " still uses " + ending.uid() + ", whose end was acknowledged "
+            if (isConnected && now - ending.acknowledgedMs() > DRAIN_MS && node.client.isListed(ending.uid())
+                    && reportedViolations.add(ending.uid())) {
+                observations.violations.add(node.ip + " still uses " + ending.uid() + ", whose end was acknowledged "
                         + (now - ending.acknowledgedMs()) + " ms ago");
             }
         }
--- a/src/test/java/routerfleet/control/ControlPlaneTest.java
+++ b/src/test/java/routerfleet/control/ControlPlaneTest.java
@@ -20,11 +20,14 @@
 import routerfleet.demo.LoopbackFleet;
 import routerfleet.demo.LoopbackHttp;
 
-/** What was acknowledged outlives crashes, lost disks and replaced nodes, and is answered the same again. */
+/**
+ * Acknowledged configuration updates survive crashes, lost disks and replaced nodes, and are acknowledged again if
+ * repeated.
+ */
 class ControlPlaneTest {
-    private static final int MOST_WAIT_S = 30;
+    private static final int MAX_WAIT_S = 30;
     private static final int LARGE_BYTES = 3 << 20;
-    private static final int LITTLE_ROOM_BYTES = 4_096;
+    private static final int SMALL_BUFFER_BYTES = 4_096;
 
     @TempDir
     private Path folder;
@@ -43,45 +46,47 @@
 
     private String readBack(int number) throws IOException {
         LoopbackHttp.Answer answer = fleet.configuration(number);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
         while (answer.status() != 200 && System.nanoTime() - end < 0) {
             answer = fleet.configuration(number);
         }
         return answer.body();
     }
 
-    /** Guards large configurations: an answer that ends its connection is not cut off by that end. */
+    /** Guards against truncating a large response whose connection is closed after it. */
     @Test
-    void aLargeConfigurationIsReadBackWhole() throws IOException {
+    void aLargeConfigurationIsReadBackCompletely() throws IOException {
         String large = Configurations.whole(5).replace("{\"generation\":5,",
                 "{\"generation\":5,\"notes\":\"" + "x".repeat(LARGE_BYTES) + "\",");
         assertThat(fleet.order("replace", 3, large), is(200));
         for (int i = 1; i <= 3; i++) {
-            assertThat(readWithLittleRoom(i), is(greaterThan(LARGE_BYTES)));
+            assertThat(readWithSmallBuffer(i), is(greaterThan(LARGE_BYTES)));
         }
     }
 
-    /** Reads a configuration with so little room that its answer is long under way. @return how many bytes came */
-    private int readWithLittleRoom(int number) throws IOException {
+    /** Reads the configuration with a small receive buffer, so that the response takes long. @return the bytes received */
+    private int readWithSmallBuffer(int number) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.setReceiveBufferSize(LITTLE_ROOM_BYTES);
-            socket.setSoTimeout(MOST_WAIT_S * 1_000);
+            socket.setReceiveBufferSize(SMALL_BUFFER_BYTES);
+            socket.setSoTimeout(MAX_WAIT_S * 1_000);
             socket.connect(fleet.controlAddress(number).socketAddress());
             socket.getOutputStream().write(("GET /rowanplank/config/get HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
-            byte[] piece = new byte[LITTLE_ROOM_BYTES];
+            byte[] buffer = new byte[SMALL_BUFFER_BYTES];
             int all = 0;
-            for (int read = in.read(piece); read >= 0; read = in.read(piece)) {
+            for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
                 all += read;
             }
             return all;
         }
     }
 
-    /** Guards what is acknowledged: what no snapshot could hold is refused at once, with its size. */
+    /**
+     * Guards against acknowledging a configuration that exceeds the snapshot size: it is refused at once with status 413.
+     */
     @Test
-    void whatCanNotBeKeptIsRefusedWithItsSize() throws IOException {
+    void aConfigurationTooLargeForASnapshotIsRefused() throws IOException {
         String half = "x".repeat(ConfigOrder.MOST_BODY_BYTES * 2 / 3);
         String first = Configurations.whole(5).replace("{\"generation\":5,",
                 "{\"generation\":5,\"notes\":\"" + half + "\",");
@@ -96,7 +101,7 @@
     }
 
     @Test
-    void theSameOrderIsAcknowledgedAgainAtEveryNode() throws IOException {
+    void aRepeatedUpdateIsAcknowledgedByEveryNode() throws IOException {
         for (int i = 1; i <= 3; i++) {
             int status = fleet.orderAt(i, "replace", 0, Configurations.whole(3));
             assertThat(status, is(200));
@@ -104,7 +109,7 @@
     }
 
     @Test
-    void ofTwoOrdersOnTheSameVersionOneWins() throws IOException {
+    void ofTwoUpdatesOfTheSameVersionOneWins() throws IOException {
         assertThat(fleet.order("patch", 3, patch(5)), is(200));
         assertThat(fleet.order("patch", 3, patch(6)), is(412));
         assertThat(fleet.order("patch", 3, patch(5)), is(200));
@@ -129,7 +134,7 @@
     }
 
     @Test
-    void everyNodeAtOnceMayCrashAndComeBack() throws IOException {
+    void allNodesMayCrashAtOnceAndRestart() throws IOException {
         for (int i = 1; i <= 3; i++) {
             fleet.crashControl(i);
         }
@@ -142,7 +147,7 @@
     }
 
     @Test
-    void aLostDiskIsANewReplicaAndWhatWasAcknowledgedStays() throws IOException {
+    void aNodeWithALostDiskIsANewReplicaAndAcknowledgedUpdatesSurvive() throws IOException {
         for (int i = 1; i <= 3; i++) {
             fleet.crashControl(i);
             fleet.wipe(i);
@@ -153,7 +158,7 @@
     }
 
     @Test
-    void aWipedReplicaAloneDoesNotMakeAMajority() throws IOException {
+    void wipedReplicasDoNotFormAMajority() throws IOException {
         for (int i = 1; i <= 3; i++) {
             fleet.crashControl(i);
         }
@@ -166,7 +171,7 @@
     }
 
     @Test
-    void aNodeAtAnotherAddressTakesTheGonesPlace() throws IOException {
+    void aNodeAtAnotherAddressReplacesALostOne() throws IOException {
         fleet.crashControl(2);
         fleet.startControl(4, false);
         assertThat(readBack(4), containsString("\"generation\":3"));
--- a/src/test/java/routerfleet/control/FaultyRaftNode.java
+++ b/src/test/java/routerfleet/control/FaultyRaftNode.java
@@ -6,10 +6,10 @@
 import rowanplank.agreement.RaftNode;
 import rowanplank.agreement.VoterConfig;
 
-/** An agreement with a planted fault. */
+/** A Raft node with an injected fault. */
 final class FaultyRaftNode extends RaftNode {
     private final InjectedFault fault;
-    private byte[] olderState;
+    private byte[] previousState;
 
     FaultyRaftNode(InjectedFault fault, Settings settings, PersistentState saved, Instant now, Actions actions) {
         super(settings, fault == InjectedFault.VOTE_FORGOTTEN
@@ -60,8 +60,8 @@
     @Override
     public void compact(byte[] data) {
         if (fault == InjectedFault.SNAPSHOT_OF_AN_OLDER_STATE) {
-            byte[] before = olderState == null ? data : olderState;
-            olderState = data;
+            byte[] before = previousState == null ? data : previousState;
+            previousState = data;
             super.compact(before);
         } else {
             super.compact(data);
--- a/src/test/java/routerfleet/control/FaultyServiceFactory.java
+++ b/src/test/java/routerfleet/control/FaultyServiceFactory.java
@@ -11,10 +11,10 @@
 import routerfleet.settings.LocalSettings;
 import routerfleet.wire.Scheduler;
 
-/** The parts of a control service, one of them with a planted fault. */
+/** Creates the components of a control service, one of them with an injected fault. */
 final class FaultyServiceFactory extends ControlServiceFactory {
-    private static final int LEAST_REPLICAS = 3;
-    private static final long REMOVED_AFTER_MS = 8_000;
+    private static final int MIN_REPLICAS = 3;
+    private static final long REMOVE_AFTER_MS = 8_000;
 
     private final InjectedFault fault;
 
@@ -117,24 +117,25 @@
             @Override
             List<String> planMembers(List<String> replicas, ClusterView presence) {
                 return switch (fault) {
-                    case SILENCE_REMOVES -> withoutSilent(replicas, presence, super.planMembers(replicas, presence));
-                    case REMOVED_FIRST -> oneStep(replicas, super.planMembers(replicas, presence));
+                    case SILENCE_REMOVES -> withoutDisconnected(replicas, presence, super.planMembers(replicas, presence));
+                    case REMOVED_FIRST -> removalsFirst(replicas, super.planMembers(replicas, presence));
                     default -> super.planMembers(replicas, presence);
                 };
             }
         };
     }
 
-    private static List<String> withoutSilent(List<String> replicas, ReplicaPlanner.ClusterView presence, List<String> next) {
-        if (!next.equals(replicas) || replicas.size() <= LEAST_REPLICAS) {
+    private static List<String> withoutDisconnected(List<String> replicas, ReplicaPlanner.ClusterView presence,
+            List<String> next) {
+        if (!next.equals(replicas) || replicas.size() <= MIN_REPLICAS) {
             return next;
         }
         List<String> left = new ArrayList<>(replicas);
-        left.removeIf(r -> left.size() > LEAST_REPLICAS && presence.disconnectedMs(ReplicaNames.ip(r)) >= REMOVED_AFTER_MS);
+        left.removeIf(r -> left.size() > MIN_REPLICAS && presence.disconnectedMs(ReplicaNames.ip(r)) >= REMOVE_AFTER_MS);
         return left;
     }
 
-    private static List<String> oneStep(List<String> replicas, List<String> next) {
+    private static List<String> removalsFirst(List<String> replicas, List<String> next) {
         List<String> kept = new ArrayList<>(replicas);
         kept.retainAll(next);
         return kept.size() < replicas.size() ? kept : next;
--- a/src/test/java/routerfleet/control/FaultyStore.java
+++ b/src/test/java/routerfleet/control/FaultyStore.java
@@ -7,9 +7,9 @@
 import routerfleet.config.ConfigStore;
 import routerfleet.config.EvacuationOrder;
 
-/** A configuration store with a planted fault. */
+/** A configuration store with an injected fault. */
 final class FaultyStore extends ConfigStore {
-    private static final int SKIPPED = 9;
+    private static final int SKIP_INTERVAL = 9;
 
     private final InjectedFault fault;
     private int applied;
@@ -30,7 +30,7 @@
 
     @Override
     public Either<ConfigFault, Long> apply(ConfigChange change) {
-        if (fault == InjectedFault.ENTRY_SKIPPED && ++applied % SKIPPED == 0) {
+        if (fault == InjectedFault.ENTRY_SKIPPED && ++applied % SKIP_INTERVAL == 0) {
             return Either.right(generation());
         }
         return super.apply(change);
@@ -38,8 +38,8 @@
 
     @Override
     public boolean apply(EvacuationOrder order) {
-        boolean blind = fault == InjectedFault.EVACUATION_BASE_NOT_COMPARED;
-        return super.apply(blind ? new EvacuationOrder(evacuations().revision(), order.zone(), order.start()) : order);
+        boolean anyBase = fault == InjectedFault.EVACUATION_BASE_NOT_COMPARED;
+        return super.apply(anyBase ? new EvacuationOrder(evacuations().revision(), order.zone(), order.start()) : order);
     }
 
     @Override
--- a/src/test/java/routerfleet/control/GroupSimulation.java
+++ b/src/test/java/routerfleet/control/GroupSimulation.java
@@ -7,18 +7,19 @@
 import java.util.Set;
 
 /**
- * A replica group in virtual time under losses that its fleet has to bear, as the operators' pages count them: machines are
- * down and come back, lose their disks, or are replaced at another address, at most so many at once; all of them may be
- * killed together. The real planner changes the group; what the group can do follows from who is there alone.
+ * A model of a replica group in virtual time under the losses that it has to tolerate: machines go down and return, lose
+ * their disks, or are replaced at another address, at most the tolerated number at the same time; all of them may be killed
+ * together. The real {@link ReplicaPlanner} changes the group, while elections and replication are modelled only by which
+ * machines are up.
  */
 final class GroupSimulation {
     private static final long TICK_MS = 100;
     private static final long PLAN_MS = 200;
     private static final long CATCH_UP_MS = 4_000;
-    /** From a machine's start until its replica holds all that is decided. */
+    /** The time from a machine's start until its replica has all committed entries. */
     private static final long TRANSFER_MS = 600;
-    private static final int MOST_PAUSE_MS = 2_500;
-    private static final int MOST_DOWN_MS = 6_000;
+    private static final int MAX_PAUSE_MS = 2_500;
+    private static final int MAX_DOWN_MS = 6_000;
 
     /** A machine with the replica on its disk. */
     private static final class Machine {
@@ -28,12 +29,12 @@
         private long upAtMs;
         private boolean wiped;
         private boolean removed;
-        /** What took the place of a removed machine. */
+        /** The replacement of a removed machine. */
         private Machine successor;
-        /** Whether anything has happened to it; a new machine that has only just started is not yet lost itself. */
-        private boolean struck;
-        /** Until when it has to catch up. */
-        private long catchesUpUntilMs;
+        /** Whether a fault has ever hit it; a new machine that is still starting does not count as lost. */
+        private boolean affected;
+        /** When it has caught up after its last start. */
+        private long caughtUpAtMs;
 
         Machine(String ip, String replica) {
             this.ip = ip;
@@ -44,43 +45,45 @@
             return downAtMs < 0 && !removed;
         }
 
-        private boolean isWell(long nowMs) {
-            return isUp() && nowMs >= catchesUpUntilMs;
+        private boolean isHealthy(long nowMs) {
+            return isUp() && nowMs >= caughtUpAtMs;
         }
 
-        /** Whether it counts as lost: a removed one does until its successor has caught up. */
+        /** Whether it counts as lost; a removed machine does until its successor has caught up. */
         boolean isLost(long nowMs) {
             if (!removed) {
-                return struck && !isWell(nowMs);
+                return affected && !isHealthy(nowMs);
             }
-            return successor.removed ? successor.isLost(nowMs) : !successor.isWell(nowMs);
+            return successor.removed ? successor.isLost(nowMs) : !successor.isHealthy(nowMs);
         }
     }
 
     private final Random random;
     private final int tolerated;
-    private final long noticeMs;
+    private final long detectionMs;
     private final List<Machine> machines = new ArrayList<>();
     private List<String> voters = new ArrayList<>();
+    /** Replicas that have all acknowledged entries. */
     private Set<String> holders = new HashSet<>();
     private Machine leader;
-    private boolean decided = true;
+    /** Whether the last membership change has been committed. */
+    private boolean changeCommitted = true;
     private long nowMs;
     private int lastNumber;
     private long allKilledAtMs = -2 * CATCH_UP_MS;
     private int losses;
-    /** What happened, for whoever looks into a broken case. */
+    /** What has happened so far, to analyze a failing run. */
     private final List<String> history = new ArrayList<>();
 
-    private void tell(String what) {
+    private void log(String what) {
         history.add(nowMs + " " + what);
     }
 
-    /** @param noticeMs after which a node that is down counts as absent */
-    GroupSimulation(long seed, int tolerated, long noticeMs) {
+    /** @param detectionMs how long it takes until a node that is down is seen as disconnected */
+    GroupSimulation(long seed, int tolerated, long detectionMs) {
         random = new Random(seed);
         this.tolerated = tolerated;
-        this.noticeMs = noticeMs;
+        this.detectionMs = detectionMs;
         for (int i = 0; i < 2 * tolerated + 1; i++) {
             Machine machine = new Machine("10.0.0." + ++lastNumber, "10.0.0." + lastNumber + "/0");
             machines.add(machine);
@@ -88,25 +91,25 @@
         }
     }
 
-    /** How many losses were played. */
+    /** How many losses were simulated. */
     int losses() {
         return losses;
     }
 
-    /** @return what was broken, and when; null where the group has borne everything */
-    String run(long forMs) {
+    /** Runs the simulation for a virtual duration. @return the violation with the history; null if there was none */
+    String run(long durationMs) {
         long nextLossMs = 0;
-        while (nowMs < forMs) {
+        while (nowMs < durationMs) {
             nowMs += TICK_MS;
-            machines.forEach(this::comeBack);
+            machines.forEach(this::restart);
             elect();
             if (nowMs % PLAN_MS == 0) {
                 plan();
             }
             replicate();
             if (nowMs >= nextLossMs) {
-                lose();
-                nextLossMs = nowMs + random.nextInt(MOST_PAUSE_MS);
+                injectLoss();
+                nextLossMs = nowMs + random.nextInt(MAX_PAUSE_MS);
             }
             String broken = check();
             if (broken != null) {
@@ -116,7 +119,7 @@
         return null;
     }
 
-    private void comeBack(Machine machine) {
+    private void restart(Machine machine) {
         if (machine.removed || machine.downAtMs < 0 || nowMs < machine.upAtMs) {
             return;
         }
@@ -125,7 +128,7 @@
             machine.wiped = false;
         }
         machine.downAtMs = -1;
-        machine.catchesUpUntilMs = nowMs + CATCH_UP_MS;
+        machine.caughtUpAtMs = nowMs + CATCH_UP_MS;
     }
 
     private Machine holderOf(String replica) {
@@ -152,14 +155,14 @@
             leader = null;
             return;
         }
-        decided = true;
+        changeCommitted = true;
         if (!stays) {
             List<String> able = up.stream().filter(holders::contains).toList();
             leader = holderOf(able.isEmpty() ? up.get(0) : able.get(random.nextInt(able.size())));
         }
     }
 
-    /** Whoever is there has everything a moment later. */
+    /** With a leader, every voter that is up gets all entries within one step. */
     private void replicate() {
         if (leader != null) {
             holders.addAll(upVoters());
@@ -167,19 +170,19 @@
     }
 
     private void plan() {
-        if (leader == null || !decided) {
+        if (leader == null || !changeCommitted) {
             return;
         }
-        List<String> wanted = new ReplicaPlanner(leader.replica, tolerated, 0).planMembers(voters, presence());
+        List<String> wanted = new ReplicaPlanner(leader.replica, tolerated, 0).planMembers(voters, clusterView());
         if (!wanted.equals(voters)) {
-            wanted.stream().filter(v -> !voters.contains(v)).forEach(holders::add); // else it would not be wanted
+            wanted.stream().filter(v -> !voters.contains(v)).forEach(holders::add); // planned, so it has caught up
             voters = new ArrayList<>(wanted);
-            decided = false;
-            tell("replicas " + voters);
+            changeCommitted = false;
+            log("replicas " + voters);
         }
     }
 
-    private ReplicaPlanner.ClusterView presence() {
+    private ReplicaPlanner.ClusterView clusterView() {
         return new ReplicaPlanner.ClusterView() {
             @Override
             public List<String> connectedReplicas() {
@@ -190,7 +193,7 @@
             public boolean isCaughtUp(String replica) {
                 Machine machine = holderOf(replica);
                 return machine != null && machine.isUp()
-                        && nowMs >= machine.catchesUpUntilMs - CATCH_UP_MS + TRANSFER_MS;
+                        && nowMs >= machine.caughtUpAtMs - CATCH_UP_MS + TRANSFER_MS;
             }
 
             @Override
@@ -207,7 +210,7 @@
             public long disconnectedMs(String ip) {
                 for (Machine machine : machines) {
                     if (machine.ip.equals(ip)) {
-                        return machine.downAtMs < 0 ? 0 : Math.max(0, nowMs - machine.downAtMs - noticeMs);
+                        return machine.downAtMs < 0 ? 0 : Math.max(0, nowMs - machine.downAtMs - detectionMs);
                     }
                 }
                 return 0;
@@ -215,13 +218,13 @@
         };
     }
 
-    /** Something is acknowledged by the fewest that may, and then as much is lost as may be. */
-    private void lose() {
+    /** Commits an entry on the smallest possible majority, and then injects a loss if another one is tolerated. */
+    private void injectLoss() {
         acknowledge();
         if (random.nextInt(12) == 0) {
             allKilledAtMs = nowMs;
             machines.stream().filter(Machine::isUp).forEach(m -> {
-                m.struck = true;
+                m.affected = true;
                 down(m, 1 + random.nextInt(1_500));
             });
             return;
@@ -229,19 +232,19 @@
         if (lost() >= tolerated) {
             return;
         }
-        List<Machine> well = machines.stream().filter(Machine::isUp).toList();
-        Machine struck = well.get(random.nextInt(well.size()));
-        struck.struck = true;
+        List<Machine> running = machines.stream().filter(Machine::isUp).toList();
+        Machine affected = running.get(random.nextInt(running.size()));
+        affected.affected = true;
         losses++;
         switch (random.nextInt(3)) {
-            case 0 -> down(struck, 1 + random.nextInt(MOST_DOWN_MS));
+            case 0 -> down(affected, 1 + random.nextInt(MAX_DOWN_MS));
             case 1 -> {
-                down(struck, 1 + random.nextInt(2_000));
-                struck.wiped = true;
-                tell(struck.replica + " loses its disk");
-                holders.remove(struck.replica);
+                down(affected, 1 + random.nextInt(2_000));
+                affected.wiped = true;
+                log(affected.replica + " loses its disk");
+                holders.remove(affected.replica);
             }
-            default -> replace(struck);
+            default -> replace(affected);
         }
     }
 
@@ -249,26 +252,26 @@
         return machines.stream().filter(m -> m.isLost(nowMs)).count();
     }
 
-    private void down(Machine machine, long forMs) {
+    private void down(Machine machine, long durationMs) {
         machine.downAtMs = nowMs;
-        machine.upAtMs = nowMs + forMs;
-        tell(machine.replica + " is down for " + forMs + " ms");
+        machine.upAtMs = nowMs + durationMs;
+        log(machine.replica + " is down for " + durationMs + " ms");
     }
 
-    private void replace(Machine gone) {
-        gone.removed = true;
-        tell(gone.replica + " is gone for good");
-        gone.downAtMs = nowMs;
-        holders.remove(gone.replica);
+    private void replace(Machine lost) {
+        lost.removed = true;
+        log(lost.replica + " is removed for good");
+        lost.downAtMs = nowMs;
+        holders.remove(lost.replica);
         Machine successor = new Machine("10.0.0." + ++lastNumber, "10.0.0." + lastNumber + "/" + lastNumber);
         down(successor, 500 + random.nextInt(2_000));
         machines.add(successor);
-        gone.successor = successor;
+        lost.successor = successor;
     }
 
     private void acknowledge() {
         List<String> up = new ArrayList<>(upVoters());
-        if (leader == null || !decided || up.size() < majority()) {
+        if (leader == null || !changeCommitted || up.size() < majority()) {
             return;
         }
         java.util.Collections.shuffle(up, random);
@@ -280,13 +283,13 @@
     private String check() {
         long onDisk = voters.stream().filter(v -> holderOf(v) != null).count();
         if (onDisk < majority()) {
-            return "no majority is left";
+            return "no majority of the voters is on disk";
         }
-        boolean borne = lost() <= tolerated && nowMs > allKilledAtMs + 2 * CATCH_UP_MS;
-        if (borne && upVoters().size() < majority()) {
-            return "no majority is there, with " + lost() + " lost";
+        boolean mustHaveMajority = lost() <= tolerated && nowMs > allKilledAtMs + 2 * CATCH_UP_MS;
+        if (mustHaveMajority && upVoters().size() < majority()) {
+            return "no majority is up, with " + lost() + " machines lost";
         }
         long without = voters.stream().filter(v -> holderOf(v) != null && !holders.contains(v)).count();
-        return !holders.isEmpty() && without >= majority() ? "what was acknowledged may be lost" : null;
+        return !holders.isEmpty() && without >= majority() ? "an acknowledged entry may be lost" : null;
     }
 }
--- a/src/test/java/routerfleet/control/HistoryChecker.java
+++ b/src/test/java/routerfleet/control/HistoryChecker.java
@@ -7,21 +7,21 @@
 import java.util.TreeMap;
 
 /**
- * Judges what was seen of a control plane: whether it can have been one configuration that changed one order at a time. It
- * knows observations only, and shares no code with what it judges.
+ * Checks whether the observations of a control plane's clients are consistent with a single configuration that changes by
+ * one update at a time. It works on observations only and shares no code with the implementation under test.
  */
 final class HistoryChecker {
-    private final Observations seen;
+    private final Observations observations;
     private final Map<Long, List<Observations.Update>> byGeneration = new HashMap<>();
-    /** Which order made a generation, where a read or an acknowledgement shows it. */
-    private final Map<Long, Observations.Update> inForce = new HashMap<>();
+    /** The update that produced a generation, as far as a read or an acknowledgement shows it. */
+    private final Map<Long, Observations.Update> committed = new HashMap<>();
 
-    /** Up to which moment which generation was the newest acknowledged one. */
+    /** The newest acknowledged generation by the time of its acknowledgement, in nanoseconds. */
     private final TreeMap<Long, Long> acknowledged = new TreeMap<>();
 
-    private HistoryChecker(Observations seen) {
-        this.seen = seen;
-        seen.updates.values().stream().filter(o -> o.acknowledgedNanos() >= 0)
+    private HistoryChecker(Observations observations) {
+        this.observations = observations;
+        observations.updates.values().stream().filter(o -> o.acknowledgedNanos() >= 0)
                 .sorted((a, b) -> Long.compare(a.acknowledgedNanos(), b.acknowledgedNanos()))
                 .forEach(o -> acknowledged.put(o.acknowledgedNanos(),
                         Math.max(o.generation, newestAcknowledgedBefore(o.acknowledgedNanos()))));
@@ -32,117 +32,118 @@
         return newest == null ? 0 : newest.getValue();
     }
 
-    /** @return what is wrong, in one line; null where nothing is */
-    static String check(Observations seen) {
-        if (!seen.violations.isEmpty()) {
-            return seen.violations.get(0);
+    /** @return the first violation, in one line; null if there is none */
+    static String check(Observations observations) {
+        if (!observations.violations.isEmpty()) {
+            return observations.violations.get(0);
         }
-        HistoryChecker checker = new HistoryChecker(seen);
-        String wrong = checker.ordersInForce();
-        wrong = wrong != null ? wrong : checker.oneChain();
-        wrong = wrong != null ? wrong : checker.answers();
-        wrong = wrong != null ? wrong : checker.reads();
-        return wrong != null ? wrong : checker.dataNodes();
+        HistoryChecker checker = new HistoryChecker(observations);
+        String violation = checker.checkCommitted();
+        violation = violation != null ? violation : checker.checkSingleChain();
+        violation = violation != null ? violation : checker.checkResponses();
+        violation = violation != null ? violation : checker.checkReads();
+        return violation != null ? violation : checker.checkDataNodes();
     }
 
-    private String ordersInForce() {
-        seen.updates.values().forEach(o -> byGeneration.computeIfAbsent(o.generation, g -> new ArrayList<>()).add(o));
-        for (Observations.Update order : seen.updates.values()) {
-            if (order.acknowledgedNanos() >= 0) {
-                Observations.Update other = inForce.putIfAbsent(order.generation, order);
+    private String checkCommitted() {
+        observations.updates.values()
+                .forEach(o -> byGeneration.computeIfAbsent(o.generation, g -> new ArrayList<>()).add(o));
+        for (Observations.Update update : observations.updates.values()) {
+            if (update.acknowledgedNanos() >= 0) {
+                Observations.Update other = committed.putIfAbsent(update.generation, update);
                 if (other != null) {
-                    return "both acknowledged as generation " + order.generation + ": " + order.marker + ", "
+                    return "two updates acknowledged as generation " + update.generation + ": " + update.marker + ", "
                             + other.marker;
                 }
             }
         }
-        for (Observations.Read read : seen.reads) {
+        for (Observations.Read read : observations.reads) {
             if (read.generation() == 0) {
                 continue;
             }
-            Observations.Update order = orderOf(read);
-            if (order == null) {
-                return "read at " + read.node() + " of what nobody sent: generation " + read.generation();
+            Observations.Update update = updateOf(read);
+            if (update == null) {
+                return "read at " + read.node() + " of a configuration that nobody sent: generation " + read.generation();
             }
-            Observations.Update other = inForce.putIfAbsent(read.generation(), order);
-            if (other != null && other != order) {
-                return "two configurations under one number: " + order.marker + ", " + other.marker;
+            Observations.Update other = committed.putIfAbsent(read.generation(), update);
+            if (other != null && other != update) {
+                return "two configurations of one generation: " + update.marker + ", " + other.marker;
             }
         }
         return null;
     }
 
-    private Observations.Update orderOf(Observations.Read read) {
-        for (Observations.Update order : byGeneration.getOrDefault(read.generation(), List.of())) {
-            if (read.document().contains("\"" + order.marker + "\"")) {
-                return order;
+    private Observations.Update updateOf(Observations.Read read) {
+        for (Observations.Update update : byGeneration.getOrDefault(read.generation(), List.of())) {
+            if (read.document().contains("\"" + update.marker + "\"")) {
+                return update;
             }
         }
         return null;
     }
 
-    /** Each configuration in force builds on another one, and no two on the same. */
-    private String oneChain() {
+    /** Checks that no two committed configurations build on the same base. */
+    private String checkSingleChain() {
         Map<Long, Observations.Update> byBase = new HashMap<>();
-        for (Observations.Update order : inForce.values()) {
-            Observations.Update other = byBase.put(order.base, order);
+        for (Observations.Update update : committed.values()) {
+            Observations.Update other = byBase.put(update.base, update);
             if (other != null) {
-                return "two in force on the same base " + order.base + ": " + order.marker + ", " + other.marker;
+                return "two committed on the same base " + update.base + ": " + update.marker + ", " + other.marker;
             }
         }
         return null;
     }
 
-    private String answers() {
-        for (Observations.Update order : seen.updates.values()) {
-            boolean refused = order.responses.stream().anyMatch(a -> a.status() / 100 == 4);
-            if (refused && inForce.get(order.generation) == order) {
-                return "refused, and in force or acknowledged: " + order.marker;
+    private String checkResponses() {
+        for (Observations.Update update : observations.updates.values()) {
+            boolean refused = update.responses.stream().anyMatch(a -> a.status() / 100 == 4);
+            if (refused && committed.get(update.generation) == update) {
+                return "refused, but committed or acknowledged: " + update.marker;
             }
-            for (Observations.Response answer : order.responses) {
-                if (answer.status() == 412 && wasCurrent(order, answer)) {
-                    return "refused as built on an old version, which was current: " + order.marker;
+            for (Observations.Response response : update.responses) {
+                if (response.status() == 412 && wasCurrent(update, response)) {
+                    return "refused as based on an old version, although it was current: " + update.marker;
                 }
-                if (answer.status() / 100 == 4 && answer.status() != 412) {
-                    return "a valid order was refused with " + answer.status() + ": " + order.marker;
+                if (response.status() / 100 == 4 && response.status() != 412) {
+                    return "a valid update was refused with " + response.status() + ": " + update.marker;
                 }
             }
         }
         return null;
     }
 
-    /** Whether an order's base was in force, and nothing else can have been, for as long as it was being answered. */
-    private boolean wasCurrent(Observations.Update order, Observations.Response answer) {
-        boolean baseKnown = order.base == 0 || inForce.containsKey(order.base)
-                && inForce.get(order.base).acknowledgedNanos() >= 0
-                && inForce.get(order.base).acknowledgedNanos() < answer.sentNanos();
+    /** Whether the base of an update was certainly current for the whole time between its request and the response. */
+    private boolean wasCurrent(Observations.Update update, Observations.Response response) {
+        boolean baseKnown = update.base == 0 || committed.containsKey(update.base)
+                && committed.get(update.base).acknowledgedNanos() >= 0
+                && committed.get(update.base).acknowledgedNanos() < response.sentNanos();
         if (!baseKnown) {
             return false;
         }
-        return seen.updates.values().stream().noneMatch(other -> other != order && other.generation > order.base
-                && other.firstSentNanos < answer.receivedNanos());
+        return observations.updates.values().stream().noneMatch(other -> other != update && other.generation > update.base
+                && other.firstSentNanos < response.receivedNanos());
     }
 
-    private String reads() {
-        for (Observations.Read read : seen.reads) {
+    private String checkReads() {
+        for (Observations.Read read : observations.reads) {
             long acknowledged = newestAcknowledgedBefore(read.sentNanos());
             if (acknowledged > read.generation()) {
                 return "read at " + read.node() + " of generation " + read.generation() + " after " + acknowledged
                         + " was acknowledged";
             }
-            Observations.Update made = inForce.get(read.generation());
-            if (made != null && made.firstSentNanos > read.answeredNanos()) {
+            Observations.Update committedUpdate = committed.get(read.generation());
+            if (committedUpdate != null && committedUpdate.firstSentNanos > read.answeredNanos()) {
                 return "generation " + read.generation() + " was read before it was sent";
             }
         }
-        return readsInOrder();
+        return checkReadOrder();
     }
 
-    /** No read that began after another one had been answered is of an older configuration. */
-    private String readsInOrder() {
-        List<Observations.Read> byEnd = seen.reads.stream()
+    /** Checks that no read returns an older configuration than a read that ended before it began. */
+    private String checkReadOrder() {
+        List<Observations.Read> byEnd = observations.reads.stream()
                 .sorted((a, b) -> Long.compare(a.answeredNanos(), b.answeredNanos())).toList();
-        List<Observations.Read> byStart = seen.reads.stream()
+        List<Observations.Read> byStart = observations.reads.stream()
                 .sorted((a, b) -> Long.compare(a.sentNanos(), b.sentNanos())).toList();
         int next = 0;
         long newest = 0;
@@ -157,17 +158,17 @@
         return null;
     }
 
-    /** What a data node takes for known to be the newest has to hold all that was acknowledged up to that point. */
-    private String dataNodes() {
-        for (Observations.DataNodeState known : seen.dataNodeStates) {
-            if (known.staleMs() > 1_000_000) {
+    /** Checks that the configuration of a data node is as recent as the node believes it to be. */
+    private String checkDataNodes() {
+        for (Observations.DataNodeState state : observations.dataNodeStates) {
+            if (state.staleMs() > 1_000_000) {
                 continue;
             }
-            long upTo = known.atNanos() - known.staleMs() * 1_000_000 - 1_000_000;
+            long upTo = state.atNanos() - state.staleMs() * 1_000_000 - 1_000_000;
             long acknowledged = newestAcknowledgedBefore(upTo);
-            if (acknowledged > known.generation()) {
-                return known.node() + " takes generation " + known.generation() + " for the newest as of "
-                        + known.staleMs() + " ms ago, and " + acknowledged + " was acknowledged before";
+            if (acknowledged > state.generation()) {
+                return state.node() + " takes generation " + state.generation() + " for the newest as of "
+                        + state.staleMs() + " ms ago, and " + acknowledged + " was acknowledged before";
             }
         }
         return null;
--- a/src/test/java/routerfleet/control/InjectedFault.java
+++ b/src/test/java/routerfleet/control/InjectedFault.java
@@ -5,123 +5,126 @@
 import routerfleet.config.ConfigStore;
 import routerfleet.simulation.VirtualProcess;
 
-/** Faults that are put into a simulated control plane, to see that the simulation finds them. */
+/**
+ * Implementation faults that are injected into a simulated control plane to verify that the simulations find them. The
+ * constants' names are arguments of {@link SimulationCampaign} and {@link TallyCampaign}.
+ */
 enum InjectedFault {
     NONE,
 
-    /** A leader takes its own word for a majority's. */
+    /** A leader takes its leadership for confirmed without a majority. */
     LEADERSHIP_UNCONFIRMED,
-    /** One less than a majority decides. */
+    /** One vote less than a majority commits an entry. */
     HALF_IS_ENOUGH,
-    /** Reads are answered without asking anybody. */
+    /** Reads are answered from the local state without confirmation. */
     READS_UNASKED,
-    /** A follower takes a read index for applied before it is. */
+    /** A follower answers a read before the read index is applied. */
     READ_INDEX_UNAPPLIED,
 
-    /** An order that was taken is not known again. */
+    /** A repeated update is not recognized as already accepted. */
     ORDERS_FORGOTTEN,
-    /** An order is refused without a majority's word that this leader still leads. */
+    /** An update is refused before a majority has confirmed that this leader still leads. */
     REFUSED_UNCONFIRMED,
-    /** An order is taken whatever it builds on. */
+    /** An update is accepted regardless of its base version. */
     BASE_NOT_COMPARED,
-    /** A replica that starts has forgotten whom it voted for. */
+    /** A replica forgets its vote when it restarts. */
     VOTE_FORGOTTEN,
-    /** What is unclear is told as taken. */
+    /** An unclear outcome is reported as accepted. */
     UNCLEAR_TOLD_AS_TAKEN,
-    /** What is unclear is told as refused. */
+    /** An unclear outcome is reported as refused. */
     UNCLEAR_TOLD_AS_REFUSED,
 
-    /** Who is silent for long is removed, as far as three are left. */
+    /** A member that is disconnected for long is removed without a successor, down to three members. */
     SILENCE_REMOVES,
-    /** Newcomers get a vote before they hold anything. */
+    /** Learners get a vote before they have caught up. */
     NEWCOMERS_VOTE_EMPTY,
-    /** A member is removed first, and its successor added later. */
+    /** A member is removed first, and its successor is added in a later change. */
     REMOVED_FIRST,
-    /** A replica whose disk was lost keeps its name, and votes again. */
+    /** A replica whose disk was lost keeps its name and votes again. */
     NAME_KEPT,
-    /** In a change of members the new group decides alone. */
+    /** During a membership change a majority of the new voters alone is enough. */
     NEW_GROUP_DECIDES_ALONE,
 
-    /** Any candidate gets a vote, whatever it lacks. */
+    /** Candidates get votes even if their logs are not up to date. */
     ANY_LOG_WILL_DO,
-    /** Entries of earlier terms are decided by counting. */
+    /** Entries of earlier terms are committed by counting replicas. */
     OLDER_TERMS_COUNT,
-    /** Entries are taken without a look at what stands before them. */
+    /** Entries are appended without checking the preceding entry. */
     NO_LOG_CHECK,
-    /** A snapshot holds the state of the one before. */
+    /** A snapshot contains the state of the previous snapshot. */
     SNAPSHOT_OF_AN_OLDER_STATE,
-    /** A snapshot that is on its way begins anew with each newer one. */
+    /** A snapshot transfer starts over whenever there is a newer snapshot. */
     SNAPSHOT_BEGINS_ANEW,
-    /** An entry that can't be read is skipped. */
+    /** An entry that can't be read is skipped; simulated by not applying every ninth change. */
     ENTRY_SKIPPED,
-    /** A sync tells that it is done and does nothing. */
+    /** A file sync does nothing and reports success. */
     SYNC_DOES_NOTHING,
-    /** The folder is never synced. */
+    /** The directory is never synced. */
     FOLDER_IS_NOT_SYNCED,
-    /** A snapshot is written over the state that is in use. */
+    /** A snapshot overwrites the slot that is in use. */
     ONE_SLOT,
-    /** What is to be written is told as stored. */
+    /** A write is reported as stored when it is queued. */
     TOLD_BEFORE_SYNCED,
-    /** That a server ends is told as kept before it is on disk. */
+    /** A server's drain or deregistration is reported as stored before it is on disk. */
     END_TOLD_BEFORE_SYNCED,
 
-    /** A data node serves by the first configuration that any control node tells it. */
+    /** A data node serves by the first configuration it receives, before that is confirmed as current. */
     FIRST_CONFIGURATION_UNCONFIRMED,
-    /** Requests of one connection are handled at once, and answered as they are done. */
+    /** Pipelined requests of one connection are answered in the order of completion. */
     ANSWERED_AS_DONE,
-    /** That a server ends is acknowledged by one control node alone. */
+    /** A server's drain or deregistration is acknowledged when only one control node has stored it. */
     END_HELD_BY_ONE,
 
-    /** An order about an evacuation is taken whatever it builds on. */
+    /** An evacuation command is accepted regardless of its base revision. */
     EVACUATION_BASE_NOT_COMPARED,
-    /** Snapshots hold no evacuations. */
+    /** Snapshots do not include evacuations. */
     EVACUATIONS_NOT_IN_SNAPSHOTS,
-    /** An entry of a tally's journal is told as stored before it is. */
+    /** An entry of the tally journal is reported as stored before it is. */
     TALLY_TOLD_BEFORE_SYNCED,
-    /** An add is acknowledged on one disk less than it takes. */
+    /** An addition is acknowledged when it is on one disk and in one zone less than required. */
     TALLY_ON_ONE_DISK_TOO_FEW,
-    /** A node that starts has forgotten its newest record, and uses its numbers again. */
+    /** A restarted node has lost its newest record and reuses its sequence numbers. */
     TALLY_LAST_RECORD_FORGOTTEN,
-    /** A node that starts has kept amounts, and forgotten their uids. */
+    /** A restarted node has the amounts but not the uids of earlier additions. */
     TALLY_UIDS_FORGOTTEN,
-    /** A node takes itself for cut off as soon as too few are connected. */
+    /** A node considers itself partitioned as soon as too few nodes are connected. */
     TALLY_CUT_OFF_AT_ONCE,
-    /** A node takes itself for cut off however short it has been up. */
+    /** A node considers itself partitioned even right after its start. */
     TALLY_CUT_OFF_AFTER_A_START,
-    /** An add that has been taken is told as refused, at times. */
+    /** An accepted addition is sometimes reported as refused. */
     TALLY_REFUSED_AFTER_WRITTEN,
-    /** An add of which not enough is known is told as taken. */
+    /** An addition with an unclear outcome is reported as accepted. */
     TALLY_UNCLEAR_TOLD_AS_TAKEN,
-    /** An add of which not enough is known is told as refused. */
+    /** An addition with an unclear outcome is reported as refused. */
     TALLY_UNCLEAR_TOLD_AS_REFUSED,
-    /** Reads are answered with what was read last, every second time. */
+    /** Every second read is answered with the result of the previous read. */
     TALLY_READS_OF_BEFORE;
 
-    /** Whether it is about tallies, and shown by a {@link TallySimulation} only. */
+    /** Whether this fault concerns tallies, so that only a {@link TallySimulation} can find it. */
     boolean isTallyFault() {
         return name().startsWith("TALLY_");
     }
 
-    /** The parts that a control service with this fault is made of. */
+    /** Creates the components of a control service with this fault. */
     ControlServiceFactory serviceFactory(int toleratedHosts) {
         return this == NONE ? new ControlServiceFactory(toleratedHosts) : new FaultyServiceFactory(this, toleratedHosts);
     }
 
-    /** The HTTP handler with this fault. */
+    /** Wraps an HTTP handler to add this fault. */
     ControlHttp.Handler handler(ControlHttp.Handler real) {
         if (isTallyFault()) {
             return new FaultyTallyResponses(this, real);
         }
-        int told = this == UNCLEAR_TOLD_AS_TAKEN ? 200 : this == UNCLEAR_TOLD_AS_REFUSED ? 412 : 0;
-        if (told == 0) {
+        int wrongStatus = this == UNCLEAR_TOLD_AS_TAKEN ? 200 : this == UNCLEAR_TOLD_AS_REFUSED ? 412 : 0;
+        if (wrongStatus == 0) {
             return real;
         }
         return (request, answer) -> real.handle(request, response -> answer.accept(
                 request.method().equals("POST") && request.path().contains("config") && response.status() == 503
-                        ? ControlHttp.Response.error(told, "planted") : response));
+                        ? ControlHttp.Response.error(wrongStatus, "injected") : response));
     }
 
-    /** The HTTP side of a connection with this fault. */
+    /** Installs the HTTP handlers of a connection with this fault. */
     void install(ChannelPipeline pipeline, ControlHttp.Handler handler) {
         if (this == ANSWERED_AS_DONE) {
             UnorderedHttp.install(pipeline, handler);
@@ -130,12 +133,13 @@
         }
     }
 
-    /** A replica's storage with this fault. */
+    /** Creates a replica's storage with this fault. */
     ReplicaStorage storage(Disk disk, VirtualProcess life, DiskWriter writer) {
         return new ReplicaStorage(disk, life, writer) {
             @Override
             TallyStorage tallyStorage() {
-                return isTallyFault() ? new FaultyTallyStorage(InjectedFault.this, disk, writer, life) : super.tallyStorage();
+                return isTallyFault() ? new FaultyTallyStorage(InjectedFault.this, disk, writer, life)
+                        : super.tallyStorage();
             }
 
             @Override
@@ -143,9 +147,9 @@
                 return new SessionStorage(disk, writer, life, codec) {
                     @Override
                     void save(Runnable kept) {
-                        boolean early = InjectedFault.this == END_TOLD_BEFORE_SYNCED;
-                        super.save(early ? () -> { } : kept);
-                        if (early) {
+                        boolean reportsEarly = InjectedFault.this == END_TOLD_BEFORE_SYNCED;
+                        super.save(reportsEarly ? () -> { } : kept);
+                        if (reportsEarly) {
                             life.execute(kept);
                         }
                     }
@@ -169,13 +173,13 @@
         };
     }
 
-    /** Makes the agreement with this fault. */
+    /** Creates a Raft node with this fault. */
     RaftNode raftNode(RaftNode.Settings settings, rowanplank.agreement.PersistentState saved, java.time.Instant now,
             RaftNode.Actions actions) {
         return new FaultyRaftNode(this, settings, saved, now, actions);
     }
 
-    /** Makes the store with this fault. */
+    /** Creates a configuration store with this fault. */
     ConfigStore configStore() {
         return new FaultyStore(this);
     }
--- a/src/test/java/routerfleet/control/Observations.java
+++ b/src/test/java/routerfleet/control/Observations.java
@@ -5,14 +5,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What operators, servers and data nodes of a simulation saw, with the times at which they saw it, in nanoseconds. */
+/** What the operators, readers, servers and data nodes of a simulation observed; times are virtual, in nanoseconds. */
 final class Observations {
-    /** One answer to an order; status 0 where none came. */
+    /** One response to an update request; status 0 if none arrived. */
     record Response(long sentNanos, long receivedNanos, int status) { }
 
-    /** An order and all answers to it: the same bytes each time. */
+    /** An update with the responses to all its requests, which are byte for byte the same. */
     static final class Update {
+        /** Text in the document that identifies the update. */
         final String marker;
+        /** The generation that the update is based on; 0 for none. */
         final long base;
         final long generation;
         final long firstSentNanos;
@@ -25,32 +27,32 @@
             this.firstSentNanos = firstSentNanos;
         }
 
-        /** When it was first acknowledged; negative where it never was. */
+        /** When the update was first acknowledged; negative if it never was. */
         long acknowledgedNanos() {
             for (Response answer : responses) {
                 if (answer.status() == 200) {
-                    return answer.receivedNanos(); // they stand in the order in which they came
+                    return answer.receivedNanos(); // responses are in the order of their arrival
                 }
             }
             return -1;
         }
     }
 
-    /** A configuration that was read. */
+    /** A configuration read from a control node. */
     record Read(String node, long sentNanos, long answeredNanos, long generation, String document) { }
 
-    /** A data node's state at one moment. */
+    /** The configuration that a data node has at a point in time, and how stale it may be by its own account. */
     record DataNodeState(String node, long atNanos, long generation, long staleMs) { }
 
     final Map<String, Update> updates = new TreeMap<>();
     final List<Read> reads = new ArrayList<>();
     final List<DataNodeState> dataNodeStates = new ArrayList<>();
-    /** What was seen to be wrong at once, without looking at the whole. */
+    /** Violations detected while the simulation was running. */
     final List<String> violations = new ArrayList<>();
     int drainsAcknowledged;
     int injectedFaults;
 
-    /** The newest acknowledged configuration; 0 for none. */
+    /** The newest acknowledged generation; 0 if there is none. */
     long newestAcknowledged() {
         return updates.values().stream().filter(o -> o.acknowledgedNanos() >= 0).mapToLong(o -> o.generation).max()
                 .orElse(0);
--- a/src/test/java/routerfleet/control/PowerRestoreTest.java
+++ b/src/test/java/routerfleet/control/PowerRestoreTest.java
@@ -21,8 +21,8 @@
 import routerfleet.wire.PeerCodec;
 
 /**
- * How soon data nodes can serve again after all machines have lost power, in virtual time: what the protocol waits for,
- * without the processor time of a start. Servers send their next heartbeat only seconds later.
+ * Measures how soon data nodes can serve again after all machines have lost power. Virtual time covers the waiting times of
+ * the protocol, but not the processor time of a start. Servers send their next heartbeats only seconds later.
  */
 class PowerRestoreTest {
     private static final int SEEDS = 40;
@@ -30,16 +30,16 @@
     private static final int CONTROL_NODES = 5;
     private static final int DATA_NODES = 6;
     private static final int SERVERS = 3;
-    private static final long LOST_MS = 6_000;
-    private static final long BACK_MS = 7_000;
-    /** Within this time of the return of power all processes have started. */
+    private static final long LOSS_MS = 6_000;
+    private static final long RESTORED_MS = 7_000;
+    /** All processes start within this time after power is restored. */
     private static final int START_MS = 200;
-    private static final long MOST_MS = 4_000;
+    private static final long MAX_MS = 4_000;
 
     private final PeerCodec codec = new PeerCodec();
 
-    /** One fleet, its loss of power and its return. */
-    private final class Play {
+    /** One fleet that loses power and is restarted. */
+    private final class FleetRun {
         private final VirtualWorld world = new VirtualWorld();
         private final SplittableRandom random;
         private final SimulatedNetwork network;
@@ -50,11 +50,11 @@
         private int sequence;
         private int firstServer = 1;
 
-        Play(long seed) {
+        FleetRun(long seed) {
             this(seed, InjectedFault.NONE);
         }
 
-        Play(long seed, InjectedFault fault) {
+        FleetRun(long seed, InjectedFault fault) {
             random = new SplittableRandom(seed);
             network = new SimulatedNetwork(world, seed, codec);
             SimulatedMachine.Environment surroundings = new SimulatedMachine.Environment(world, network, codec,
@@ -109,18 +109,18 @@
                     && n.isListed("s" + firstServer) && n.isListed("s" + SERVERS));
         }
 
-        /** Plays a fleet up to its loss of power, and starts all processes again; no heartbeats come from the loss on. */
-        void loseAndReturn() {
-            begin();
+        /** Runs the fleet up to its power loss and restarts all processes; no heartbeats are sent after the loss. */
+        void losePowerAndRestart() {
+            startAndConfigure();
             losePower();
-            comeBack();
+            restoreAndRestart();
         }
 
-        private void begin() {
+        private void startAndConfigure() {
             start(true);
             world.afterMs(1_000, () -> call("/rowanplank/config/replace", Configurations.whole(1), "0"));
             world.afterMs(1_000, this::heartbeat);
-            world.runUntilMs(LOST_MS);
+            world.runUntilMs(LOSS_MS);
             assertThat("serves before the loss", serves(), is(true));
         }
 
@@ -131,77 +131,79 @@
             nodes.clear();
         }
 
-        private void comeBack() {
-            world.runUntilMs(BACK_MS);
+        private void restoreAndRestart() {
+            world.runUntilMs(RESTORED_MS);
             machines.forEach(SimulatedMachine::restorePower);
             start(false);
         }
 
-        /** @return milliseconds from the start of the last process until all data nodes can serve; most where they don't */
+        /**
+         * @return milliseconds from the start of the last process until all data nodes can serve; the limit if they don't
+         */
         long timeToServe() {
-            loseAndReturn();
-            for (long at = BACK_MS + START_MS; at < BACK_MS + START_MS + MOST_MS; at++) {
+            losePowerAndRestart();
+            for (long at = RESTORED_MS + START_MS; at < RESTORED_MS + START_MS + MAX_MS; at++) {
                 world.runUntilMs(at);
                 if (serves()) {
-                    return at - BACK_MS - START_MS;
+                    return at - RESTORED_MS - START_MS;
                 }
             }
-            return MOST_MS;
+            return MAX_MS;
         }
     }
 
-    /** Guards an end that was acknowledged: a heartbeat from before it, come late, does not bring the server back. */
+    /** Guards acknowledged deregistrations: a delayed heartbeat sent before one must not bring the server back. */
     @Test
-    void whatHadEndedDoesNotComeBackByALateHeartbeat() {
+    void aDeregisteredServerIsNotRestoredByADelayedHeartbeat() {
         for (long seed = 1; seed <= ENDING_SEEDS; seed++) {
-            Play play = new Play(seed);
-            play.world.afterMs(LOST_MS - 2_500, () -> play.call("/rowanplank/instances/s1/deregister", "", null));
-            play.world.afterMs(LOST_MS - 2_500, () -> play.firstServer = 2);
-            play.loseAndReturn();
-            play.world.runUntilMs(BACK_MS + START_MS + 600);
-            play.firstServer = 1;
-            play.heartbeats = true;
-            play.world.runUntilMs(BACK_MS + START_MS + MOST_MS);
-            assertThat("seed " + seed, play.nodes.stream().anyMatch(n -> n.isListed("s1")), is(false));
-            assertThat("seed " + seed, play.nodes.stream().allMatch(n -> n.isListed("s2")), is(true));
+            FleetRun run = new FleetRun(seed);
+            run.world.afterMs(LOSS_MS - 2_500, () -> run.call("/rowanplank/instances/s1/deregister", "", null));
+            run.world.afterMs(LOSS_MS - 2_500, () -> run.firstServer = 2);
+            run.losePowerAndRestart();
+            run.world.runUntilMs(RESTORED_MS + START_MS + 600);
+            run.firstServer = 1;
+            run.heartbeats = true;
+            run.world.runUntilMs(RESTORED_MS + START_MS + MAX_MS);
+            assertThat("seed " + seed, run.nodes.stream().anyMatch(n -> n.isListed("s1")), is(false));
+            assertThat("seed " + seed, run.nodes.stream().allMatch(n -> n.isListed("s2")), is(true));
         }
     }
 
-    /** Whether a server is used again by a late heartbeat, where power fails in the moment its end is acknowledged. */
-    private boolean comesBack(long seed, InjectedFault fault) {
-        Play play = new Play(seed, fault);
-        play.begin();
-        play.firstServer = 2;
-        SimulatedMachine first = play.machines.get(0);
+    /** Whether a delayed heartbeat brings a server back if power fails when its deregistration is acknowledged. */
+    private boolean isUsedAgain(long seed, InjectedFault fault) {
+        FleetRun run = new FleetRun(seed, fault);
+        run.startAndConfigure();
+        run.firstServer = 2;
+        SimulatedMachine first = run.machines.get(0);
         first.process().execute(() -> first.handler().handle(
                 new ControlHttp.Request("POST", "/rowanplank/instances/s1/deregister", null, new byte[0]),
-                answer -> play.world.after(0, play::losePower)));
-        play.world.runUntilMs(BACK_MS - 1);
-        assertThat("acknowledged", play.heartbeats, is(false));
-        play.comeBack();
-        play.world.runUntilMs(BACK_MS + START_MS + 600);
-        play.firstServer = 1;
-        play.heartbeats = true;
-        play.world.runUntilMs(BACK_MS + START_MS + MOST_MS);
-        return play.nodes.stream().anyMatch(n -> n.isListed("s1"));
+                answer -> run.world.after(0, run::losePower)));
+        run.world.runUntilMs(RESTORED_MS - 1);
+        assertThat("acknowledged", run.heartbeats, is(false));
+        run.restoreAndRestart();
+        run.world.runUntilMs(RESTORED_MS + START_MS + 600);
+        run.firstServer = 1;
+        run.heartbeats = true;
+        run.world.runUntilMs(RESTORED_MS + START_MS + MAX_MS);
+        return run.nodes.stream().anyMatch(n -> n.isListed("s1"));
     }
 
-    /** Guards an end that was acknowledged at the last moment; an end that is told before it is on disk is found. */
+    /** Guards a deregistration acknowledged just before a power loss; acknowledging it before it is on disk is found. */
     @Test
-    void anEndOutlivesALossOfPowerInTheMomentOfItsAcknowledgement() {
+    void aDeregistrationSurvivesAPowerLossAtItsAcknowledgement() {
         boolean found = false;
         for (long seed = 1; seed <= ENDING_SEEDS; seed++) {
-            assertThat("seed " + seed, comesBack(seed, InjectedFault.NONE), is(false));
-            found |= comesBack(seed, InjectedFault.END_TOLD_BEFORE_SYNCED);
+            assertThat("seed " + seed, isUsedAgain(seed, InjectedFault.NONE), is(false));
+            found |= isUsedAgain(seed, InjectedFault.END_TOLD_BEFORE_SYNCED);
         }
-        assertThat("the planted fault is found", found, is(true));
+        assertThat("the injected fault is found", found, is(true));
     }
 
     @Test
-    void dataNodesServeBeforeServersAreHeardAgain() {
+    void dataNodesServeBeforeTheNextHeartbeats() {
         List<Long> times = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            times.add(new Play(seed).timeToServe());
+            times.add(new FleetRun(seed).timeToServe());
         }
         times.sort(null);
         assertThat("all, in milliseconds: " + times, times.get(SEEDS - 1), is(lessThan(900L)));
--- a/src/test/java/routerfleet/control/QuotaReplacementSimulation.java
+++ b/src/test/java/routerfleet/control/QuotaReplacementSimulation.java
@@ -13,15 +13,15 @@
 import routerfleet.wire.QuotaDivision;
 
 /**
- * One tenant's limit while control nodes are cut off, replaced, restarted and come back, in virtual time: data nodes ask
- * every control node that there is, all the time, for more than the limit.
+ * Simulates the quota of one tenant in virtual time while control nodes are cut off, replaced, restarted and reconnected.
+ * Data nodes continuously request more than the limit from every control node.
  */
 final class QuotaReplacementSimulation {
-    /** What a control node that is cut off believes of its own view. */
+    /** How old a disconnected control node takes its own view of the members to be. */
     enum Fault {
-        /** As the product has it: how old its last confirmation is. */
+        /** As in the real implementation: the age of its last confirmation. */
         NONE,
-        /** Planted: that it has just been confirmed. */
+        /** Injected fault: it always takes its view for just confirmed. */
         BELIEVES_ITSELF
     }
 
@@ -32,21 +32,21 @@
     private static final TenantConfig TENANT = new TenantConfig("one", List.of("k"), 0, "token_count", 100, RATE, RATE);
     private static final long STEP_MS = 20;
     private static final long REVIEW_MS = 100;
-    /** A replica is removed once it has been gone for so long. */
-    private static final long REMOVED_AFTER_MS = 1_500;
+    /** A replica is removed once it has been disconnected for this long. */
+    private static final long REMOVE_AFTER_MS = 1_500;
     private static final int MACHINES = 5;
-    private static final int LEAST_MEMBERS = 3;
-    private static final int ASKS_A_STEP = 3;
-    private static final double MOST_TOKENS = 1_000;
+    private static final int MIN_MEMBERS = 3;
+    private static final int REQUESTS_PER_STEP = 3;
+    private static final double MAX_TOKENS = 1_000;
 
-    /** One machine: its grantor, and what it knows. */
+    /** One machine with its quota grantor and its view of the members. */
     private static final class Node {
         private final String ip;
         private QuotaGrantor grantor;
         private List<String> view = List.of();
         private long confirmedMs = Long.MIN_VALUE;
         private boolean cut;
-        private long goneSinceMs;
+        private long cutSinceMs;
 
         Node(String ip) {
             this.ip = ip;
@@ -63,7 +63,7 @@
     private List<String> members;
     private long nowMs;
     private double inWindow;
-    private double mostInWindow;
+    private double maxInWindow;
 
     QuotaReplacementSimulation(long seed, Fault fault) {
         random = new Random(seed);
@@ -71,50 +71,53 @@
         for (int i = 1; i <= MACHINES; i++) {
             nodes.put("10.0.0." + i, new Node("10.0.0." + i));
         }
-        members = new ArrayList<>(nodes.keySet()).subList(0, LEAST_MEMBERS + random.nextInt(2));
+        members = new ArrayList<>(nodes.keySet()).subList(0, MIN_MEMBERS + random.nextInt(2));
     }
 
-    /** The most that may be granted in any window: the rules' bound, less what the data nodes' reserves may admit. */
+    /**
+     * The maximum that may be granted in any window: the documented bound less what the reserves of the data nodes may
+     * admit.
+     */
     static double bound() {
-        double whole = RATE * BOUNDS.quotaWindowS() + RATE;
-        double slack = BOUNDS.quotaSlack() + BOUNDS.quotaOvershoot() * whole;
-        return whole + slack - QuotaDivision.reserve(TENANT, BOUNDS, 1);
+        double total = RATE * BOUNDS.quotaWindowS() + RATE;
+        double slack = BOUNDS.quotaSlack() + BOUNDS.quotaOvershoot() * total;
+        return total + slack - QuotaDivision.reserve(TENANT, BOUNDS, 1);
     }
 
-    /** Plays so long. @return the most that was granted in any window */
-    double run(long lengthMs) {
-        for (; nowMs < lengthMs; nowMs += STEP_MS) {
+    /** Runs for a virtual duration. @return the maximum that was granted in any window */
+    double run(long durationMs) {
+        for (; nowMs < durationMs; nowMs += STEP_MS) {
             if (nowMs % REVIEW_MS == 0) {
-                trouble();
+                injectFault();
                 plan();
                 nodes.values().forEach(this::review);
             }
-            for (int i = 0; i < ASKS_A_STEP; i++) {
-                nodes.values().forEach(this::ask);
+            for (int i = 0; i < REQUESTS_PER_STEP; i++) {
+                nodes.values().forEach(this::requestQuota);
             }
         }
-        return mostInWindow;
+        return maxInWindow;
     }
 
-    private void trouble() {
-        int lot = random.nextInt(100);
+    private void injectFault() {
+        int choice = random.nextInt(100);
         Node node = nodes.get("10.0.0." + (1 + random.nextInt(MACHINES)));
-        if (lot < 2 && nodes.values().stream().noneMatch(n -> n.cut)) {
+        if (choice < 2 && nodes.values().stream().noneMatch(n -> n.cut)) {
             node.cut = true;
-            node.goneSinceMs = nowMs;
-        } else if (lot < 4 && node.cut) {
+            node.cutSinceMs = nowMs;
+        } else if (choice < 4 && node.cut) {
             node.cut = false;
-        } else if (lot == 4) {
+        } else if (choice == 4) {
             node.grantor = new QuotaGrantor(node.ip, BOUNDS);
             node.confirmedMs = Long.MIN_VALUE;
         }
     }
 
-    /** The leader's part: who is gone leaves, who is there joins; one step at a time. */
+    /** The leader's planning: removes a disconnected member or adds a connected node, one step at a time. */
     private void plan() {
         for (String member : members) {
             Node node = nodes.get(member);
-            if (node.cut && nowMs - node.goneSinceMs >= REMOVED_AFTER_MS && members.size() > LEAST_MEMBERS) {
+            if (node.cut && nowMs - node.cutSinceMs >= REMOVE_AFTER_MS && members.size() > MIN_MEMBERS) {
                 members = new ArrayList<>(members);
                 members.remove(member);
                 return;
@@ -137,8 +140,8 @@
         node.grantor.configure(List.of(TENANT), node.view, nowMs);
     }
 
-    private void ask(Node node) {
-        double amount = 1 + random.nextDouble() * MOST_TOKENS;
+    private void requestQuota(Node node) {
+        double amount = 1 + random.nextDouble() * MAX_TOKENS;
         long age = node.confirmedMs == Long.MIN_VALUE ? -1 : nowMs - node.confirmedMs;
         PeerMessage.QuotaAnswer answer = node.grantor.answer(new PeerMessage.QuotaAsk(1, TENANT.name(), amount, false),
                 fault == Fault.BELIEVES_ITSELF ? 0 : age, nowMs);
@@ -153,6 +156,6 @@
         while (window.peek().atMs() <= nowMs - WINDOW_MS) {
             inWindow -= window.poll().amount();
         }
-        mostInWindow = Math.max(mostInWindow, inWindow);
+        maxInWindow = Math.max(maxInWindow, inWindow);
     }
 }
--- a/src/test/java/routerfleet/control/QuotaReplacementSimulationTest.java
+++ b/src/test/java/routerfleet/control/QuotaReplacementSimulationTest.java
@@ -6,26 +6,28 @@
 
 import org.junit.jupiter.api.Test;
 
-/** That a tenant's limit holds while control nodes are replaced, and that the simulation would show it if it did not. */
+/** Checks that a tenant's limit holds while control nodes are replaced, and that the simulation finds a violation of it. */
 class QuotaReplacementSimulationTest {
-    private static final long LENGTH_MS = 120_000;
+    private static final long DURATION_MS = 120_000;
     private static final int SEEDS = 100;
 
-    private static double most(QuotaReplacementSimulation.Fault fault) {
-        double most = 0;
+    private static double maxGranted(QuotaReplacementSimulation.Fault fault) {
+        double maxGranted = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            most = Math.max(most, new QuotaReplacementSimulation(seed, fault).run(LENGTH_MS));
+            maxGranted = Math.max(maxGranted, new QuotaReplacementSimulation(seed, fault).run(DURATION_MS));
         }
-        return most;
+        return maxGranted;
     }
 
     @Test
-    void aLimitHoldsInEveryWindowWhileItsHoldersAreReplaced() {
-        assertThat(most(QuotaReplacementSimulation.Fault.NONE), lessThanOrEqualTo(QuotaReplacementSimulation.bound()));
+    void theLimitHoldsInEveryWindowWhileControlNodesAreReplaced() {
+        assertThat(maxGranted(QuotaReplacementSimulation.Fault.NONE),
+                lessThanOrEqualTo(QuotaReplacementSimulation.bound()));
     }
 
     @Test
-    void aHolderThatIsCutOffAndBelievesItselfIsFound() {
-        assertThat(most(QuotaReplacementSimulation.Fault.BELIEVES_ITSELF), greaterThan(QuotaReplacementSimulation.bound()));
+    void aDisconnectedNodeThatTrustsItsOwnViewIsFound() {
+        assertThat(maxGranted(QuotaReplacementSimulation.Fault.BELIEVES_ITSELF),
+                greaterThan(QuotaReplacementSimulation.bound()));
     }
 }
--- a/src/test/java/routerfleet/control/ReplicaGroupTest.java
+++ b/src/test/java/routerfleet/control/ReplicaGroupTest.java
@@ -23,7 +23,7 @@
 import routerfleet.wire.EventLoopScheduler;
 import routerfleet.wire.PeerCodec;
 
-/** A group of one replica, on a disk of its own. */
+/** Tests a group of a single replica that stores to a real directory. */
 class ReplicaGroupTest {
     private static final String SELF = "127.0.0.1/0";
     private static final int WAIT_S = 20;
@@ -63,14 +63,14 @@
         return outcome;
     }
 
-    /** Guards the state: what was decided and can't be read is never skipped; the replica has nothing to say any more. */
+    /** Guards against diverging state: a committed entry that can't be read is never skipped; the replica halts instead. */
     @Test
-    void aReplicaThatCanNotReadWhatWasDecidedTakesNoPart() throws Exception {
-        byte[] ofALaterBuild = {(byte) 0x90, 1, 2, 3};
+    void aReplicaThatCannotReadACommittedEntryHalts() throws Exception {
+        byte[] unknownFormat = {(byte) 0x90, 1, 2, 3};
         PersistentState saved = new PersistentState(1, SELF, Snapshot.initial(List.of(SELF)),
-                List.of(Entry.command(1, 1, ofALaterBuild), Entry.noOp(2, 1)));
+                List.of(Entry.command(1, 1, unknownFormat), Entry.noOp(2, 1)));
         CompletableFuture<Void> halted = new CompletableFuture<>();
-        ReplicaGroup group = group(saved, new Quiet());
+        ReplicaGroup group = group(saved, new NoOpEnvironment());
         Runnable[] watch = new Runnable[1];
         watch[0] = () -> {
             if (group.isHalted()) {
@@ -90,51 +90,51 @@
         assertThat(answer.get(WAIT_S, TimeUnit.SECONDS), is(ConfigUpdateQueue.Outcome.UNKNOWN));
     }
 
-    /** Surroundings that hear nothing. */
-    private static final class Quiet implements ReplicaGroup.Environment {
+    /** An environment that ignores everything. */
+    private static final class NoOpEnvironment implements ReplicaGroup.Environment {
         @Override
         public void send(String to, Message message) {
-            // nobody is there
+            // there are no other replicas
         }
 
         @Override
         public void configurationChanged(long generation) {
-            // nobody is to be told
+            // not needed here
         }
 
         @Override
         public void evacuationsChanged(Evacuations evacuations) {
-            // nobody is to be told
+            // not needed here
         }
 
         @Override
         public void leaderKnown() {
-            // nobody waits for one
+            // not needed here
         }
     }
 
-    /** Guards the replica: a failure in what an order brings about must not leave all later orders without an answer. */
+    /** Guards the replica: a failure in a callback after one update must not leave later updates without a result. */
     @Test
-    void ordersGoOnAfterATaskHasFailed() throws Exception {
+    void updatesContinueAfterATaskHasFailed() throws Exception {
         ReplicaGroup group = group(new ReplicaGroup.Environment() {
             @Override
             public void send(String to, Message message) {
-                throw new IllegalStateException("there is nobody to send to");
+                throw new IllegalStateException("there are no other replicas");
             }
 
             @Override
             public void configurationChanged(long generation) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected");
             }
 
             @Override
             public void evacuationsChanged(Evacuations evacuations) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("injected");
             }
 
             @Override
             public void leaderKnown() {
-                // nobody waits for one
+                // not needed here
             }
         });
         assertThat(order(group, 0, Configurations.whole(2)), is(ConfigUpdateQueue.Outcome.ACCEPTED));
--- a/src/test/java/routerfleet/control/ReplicaPlannerTest.java
+++ b/src/test/java/routerfleet/control/ReplicaPlannerTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which replicas the leader of a configuration shard wants in its group. */
+/** Tests which replicas the leader of the configuration shard plans as voters. */
 class ReplicaPlannerTest {
     private static final String SELF = "10.0.0.1/0";
     private static final String SECOND = "10.0.0.2/0";
@@ -23,20 +23,20 @@
     private static final List<String> THREE = List.of(SELF, SECOND, THIRD);
     private static final List<String> FIVE = List.of(SELF, SECOND, THIRD, FOURTH, FIFTH);
 
-    /** Control nodes as a test has them. */
+    /** A view of the control nodes that a test defines. */
     private static final class Nodes implements ReplicaPlanner.ClusterView {
-        private final List<String> present;
-        private final Map<String, Long> absent = new HashMap<>();
+        private final List<String> connected;
+        private final Map<String, Long> disconnected = new HashMap<>();
         private final Set<String> leaving = new HashSet<>();
         private final Set<String> behind = new HashSet<>();
         private final Map<String, String> zones = new HashMap<>();
 
-        Nodes(String... present) {
-            this.present = List.of(present);
+        Nodes(String... connected) {
+            this.connected = List.of(connected);
         }
 
-        Nodes gone(String replica, long absentMs) {
-            absent.put(ReplicaNames.ip(replica), absentMs);
+        Nodes down(String replica, long disconnectedMs) {
+            disconnected.put(ReplicaNames.ip(replica), disconnectedMs);
             return this;
         }
 
@@ -64,7 +64,7 @@
 
         @Override
         public List<String> connectedReplicas() {
-            return present;
+            return connected;
         }
 
         @Override
@@ -79,7 +79,7 @@
 
         @Override
         public long disconnectedMs(String ip) {
-            return absent.getOrDefault(ip, 0L);
+            return disconnected.getOrDefault(ip, 0L);
         }
     }
 
@@ -93,73 +93,78 @@
         return changed;
     }
 
-    /** Guards what was acknowledged: a thinner group would hold it on fewer disks than may be lost. */
+    /** Guards acknowledged entries: a smaller group would store them on no more disks than may be lost. */
     @Test
-    void silenceAloneRemovesNoOne() {
-        assertThat(next(1, THREE, new Nodes(THIRD).gone(SECOND, 600_000)), is(THREE));
-        assertThat(next(2, FIVE, new Nodes(FOURTH, FIFTH).gone(SECOND, 600_000).gone(THIRD, 600_000)), is(FIVE));
-        assertThat(next(1, FIVE, new Nodes(FOURTH, FIFTH).gone(SECOND, 600_000).gone(THIRD, 600_000)), is(FIVE));
+    void aDisconnectedMemberIsNotRemovedWithoutASuccessor() {
+        assertThat(next(1, THREE, new Nodes(THIRD).down(SECOND, 600_000)), is(THREE));
+        assertThat(next(2, FIVE, new Nodes(FOURTH, FIFTH).down(SECOND, 600_000).down(THIRD, 600_000)), is(FIVE));
+        assertThat(next(1, FIVE, new Nodes(FOURTH, FIFTH).down(SECOND, 600_000).down(THIRD, 600_000)), is(FIVE));
     }
 
-    /** Guards against a second loss in between: the old and the new one change places in one step. */
+    /** Guards against a second loss during a replacement: the old and the new member are exchanged in one step. */
     @Test
-    void whatIsGoneGivesWayToANewcomerInOneStep() {
-        Nodes nodes = new Nodes(THIRD, FOURTH).gone(SECOND, ReplicaPlanner.REPLACE_AFTER_MS);
+    void aDisconnectedMemberIsReplacedByALearnerInOneStep() {
+        Nodes nodes = new Nodes(THIRD, FOURTH).down(SECOND, ReplicaPlanner.REPLACE_AFTER_MS);
         assertThat(next(1, THREE, nodes), is(replaced(THREE, SECOND, FOURTH)));
     }
 
     @Test
-    void whatIsOnlyJustSilentKeepsItsPlace() {
-        Nodes nodes = new Nodes(THIRD, FOURTH).gone(SECOND, ReplicaPlanner.REPLACE_AFTER_MS - 1);
+    void aBrieflyDisconnectedMemberIsNotReplaced() {
+        Nodes nodes = new Nodes(THIRD, FOURTH).down(SECOND, ReplicaPlanner.REPLACE_AFTER_MS - 1);
         assertThat(next(1, THREE, nodes), is(THREE));
     }
 
-    /** Guards the only copy: who holds less than everything is no successor. */
+    /** Guards the only copy of an entry: a learner that has not caught up is no successor. */
     @Test
-    void noOneGivesWayBeforeASuccessorHoldsAll() {
-        Nodes gone = new Nodes(THIRD, FOURTH).gone(SECOND, 60_000).behind(FOURTH);
-        assertThat(next(1, THREE, gone), is(THREE));
+    void noMemberIsReplacedBeforeASuccessorHasCaughtUp() {
+        Nodes nodes = new Nodes(THIRD, FOURTH).down(SECOND, 60_000).behind(FOURTH);
+        assertThat(next(1, THREE, nodes), is(THREE));
         assertThat(next(1, THREE, new Nodes(SECOND, THIRD, FOURTH).leaving(SECOND).behind(FOURTH)), is(THREE));
         assertThat(next(1, THREE, new Nodes(SECOND_WIPED, THIRD).behind(SECOND_WIPED)), is(THREE));
     }
 
     @Test
-    void aNodeWithAnEmptyDiskTakesItsOwnPlaceAgain() {
+    void aNodeWithAnEmptyDiskReplacesItsFormerReplica() {
         assertThat(next(1, THREE, new Nodes(SECOND_WIPED, THIRD)), is(replaced(THREE, SECOND, SECOND_WIPED)));
     }
 
-    /** Guards against a member that counts for ever and is nowhere: an earlier replica of the leader's own node. */
+    /** Guards against a member that no longer exists but counts for ever: an earlier replica of the leader's own node. */
     @Test
-    void anEarlierReplicaOfTheLeadersNodeGivesWay() {
+    void anEarlierReplicaOfTheLeadersNodeIsReplaced() {
         List<String> replicas = List.of(SELF, THIRD, "10.0.0.1/11");
         assertThat(next(1, replicas, new Nodes(THIRD, FOURTH)), is(List.of(SELF, THIRD, FOURTH)));
     }
 
-    /** Guards against a lost majority: a disk that is lost for certain goes before one that is only silent. */
+    /**
+     * Guards against a lost majority: a disk that is certainly lost is replaced before a node that is only disconnected.
+     */
     @Test
-    void aLostDiskIsReplacedBeforeASilentOne() {
-        Nodes nodes = new Nodes(SECOND_WIPED, FOURTH).behind(SECOND_WIPED).gone(THIRD, 60_000);
+    void aLostDiskIsReplacedBeforeADisconnectedNode() {
+        Nodes nodes = new Nodes(SECOND_WIPED, FOURTH).behind(SECOND_WIPED).down(THIRD, 60_000);
         assertThat(next(1, THREE, nodes), is(replaced(THREE, SECOND, FOURTH)));
     }
 
-    /** Guards planned replacements: the successor is in before the old one is gone. */
+    /** Guards planned replacements: the successor is a member before the old node stops. */
     @Test
-    void oneThatLeavesGivesWayAtOnce() {
+    void aLeavingMemberIsReplacedAtOnce() {
         Nodes nodes = new Nodes(SECOND, THIRD, FOURTH).leaving(SECOND);
         assertThat(next(1, THREE, nodes), is(replaced(THREE, SECOND, FOURTH)));
         assertThat(next(1, THREE, new Nodes(SECOND, THIRD).leaving(SECOND)), is(THREE));
         assertThat(next(1, THREE, new Nodes(SECOND, THIRD, FOURTH).leaving(FOURTH)), is(THREE));
     }
 
-    /** Guards groups that grew: who leaves for good must not count for the majority any longer. */
+    /** Guards groups that have grown: a member that leaves for good must no longer count towards the majority. */
     @Test
-    void oneThatLeavesAGroupThatIsLargerThanNeededGoesWithoutASuccessor() {
+    void aLeavingMemberOfALargerGroupThanNeededIsRemovedWithoutASuccessor() {
         Nodes nodes = new Nodes(SECOND, THIRD, FOURTH, FIFTH).leaving(SECOND);
         assertThat(next(1, FIVE, nodes), is(List.of(SELF, THIRD, FOURTH, FIFTH)));
         assertThat(next(2, FIVE, nodes), is(FIVE));
     }
 
-    /** Guards against members that are gone for good and count for ever: newcomers come before a loss is noticed. */
+    /**
+     * Guards against members that are lost for good but count for ever, as replacements may connect before a loss is
+     * detected.
+     */
     @Test
     void aGroupThatIsLargeEnoughDoesNotGrow() {
         assertThat(next(1, THREE, new Nodes(SECOND, THIRD, FOURTH)), is(THREE));
@@ -168,9 +173,9 @@
         assertThat(next(2, four, new Nodes(SECOND, THIRD, FOURTH, FIFTH)), is(FIVE));
     }
 
-    /** Guards fleets that bear more losses than usual: the group grows until it does. */
+    /** Guards fleets with more tolerated losses than usual: the group grows to the required size. */
     @Test
-    void theGroupGrowsAsFarAsTheLossesToBearAsk() {
+    void theGroupGrowsToTheSizeForTheToleratedLosses() {
         List<String> replicas = List.of(SELF);
         String[] others = new String[12];
         for (int i = 0; i < others.length; i++) {
@@ -182,27 +187,29 @@
         assertThat(replicas.size(), is(9));
     }
 
-    /** Whoever is there, silent, wiped, behind or leaving: a group that was large enough stays so, and keeps its leader. */
+    /**
+     * Whichever nodes are connected, wiped, behind or leaving: a group of sufficient size keeps it, and keeps its leader.
+     */
     @Test
-    void noPresenceMakesTheGroupThinnerThanItHasToBe() {
+    void noStateOfTheNodesMakesTheGroupSmallerThanRequired() {
         Random random = new Random(4711);
         for (int run = 0; run < 20_000; run++) {
             int tolerated = 1 + random.nextInt(3);
             int wanted = 2 * tolerated + 1;
             List<String> replicas = new ArrayList<>(List.of(SELF));
-            List<String> present = new ArrayList<>();
+            List<String> connected = new ArrayList<>();
             for (int i = 2; i <= wanted + random.nextInt(3) || replicas.size() < wanted; i++) {
                 replicas.add("10.0.0." + i + "/0");
             }
             for (int i = 2; i <= 10; i++) {
                 if (random.nextBoolean()) {
-                    present.add("10.0.0." + i + "/" + (random.nextInt(4) == 0 ? 1 : 0));
+                    connected.add("10.0.0." + i + "/" + (random.nextInt(4) == 0 ? 1 : 0));
                 }
             }
-            Nodes nodes = new Nodes(present.toArray(String[]::new));
+            Nodes nodes = new Nodes(connected.toArray(String[]::new));
             for (int i = 2; i <= 10; i++) {
                 String replica = "10.0.0." + i + "/0";
-                nodes.gone(replica, random.nextInt(3) * 1_000L);
+                nodes.down(replica, random.nextInt(3) * 1_000L);
                 if (random.nextInt(4) == 0) {
                     nodes.leaving(replica);
                 }
@@ -218,29 +225,29 @@
         }
     }
 
-    /** Guards the majority against the loss of a zone: the seeds of a fleet may stand in one. */
+    /** Guards the majority against the loss of a zone, since all seeds of a fleet may be in the same zone. */
     @Test
-    void noZoneKeepsAMajorityWhereAnotherZoneHasANewcomer() {
+    void noZoneKeepsAMajorityIfAnotherZoneHasALearner() {
         Nodes nodes = new Nodes(SECOND, THIRD, FOURTH, FIFTH).in("a", SELF, SECOND, THIRD).in("b", FOURTH, FIFTH);
         List<String> once = next(1, THREE, nodes);
         assertThat(once, is(replaced(THREE, SECOND, FOURTH)));
-        assertThat("two zones can't do better", next(1, once, nodes), is(once));
+        assertThat("two zones don't allow more", next(1, once, nodes), is(once));
         Nodes three = new Nodes(SECOND, THIRD, FOURTH, FIFTH).in("a", SELF, SECOND, THIRD).in("b", FOURTH).in("c", FIFTH);
         assertThat(next(1, once, three), is(List.of(SELF, FOURTH, FIFTH)));
         assertThat(next(1, THREE, nodes.behind(FOURTH).behind(FIFTH)), is(THREE));
     }
 
-    /** Guards the spread of a group: a place that is free goes to the zone with the fewest members. */
+    /** Guards the spread over zones: a vacancy goes to the zone with the fewest members. */
     @Test
-    void aPlaceGoesToTheZoneWithTheFewestMembers() {
-        Nodes nodes = new Nodes(THIRD, FOURTH, FIFTH).gone(SECOND, 60_000).in("a", SELF, FOURTH).in("b", SECOND)
+    void aVacancyGoesToTheZoneWithTheFewestMembers() {
+        Nodes nodes = new Nodes(THIRD, FOURTH, FIFTH).down(SECOND, 60_000).in("a", SELF, FOURTH).in("b", SECOND)
                 .in("c", THIRD, FIFTH).in("b", FIFTH);
         assertThat(next(1, THREE, nodes), is(replaced(THREE, SECOND, FIFTH)));
     }
 
-    /** Guards groups that are spread well enough against needless changes. */
+    /** Guards sufficiently spread groups against needless changes. */
     @Test
-    void aGroupThatOutlivesEachZoneStaysAsItIs() {
+    void aGroupThatToleratesTheLossOfAnyZoneStaysAsItIs() {
         Nodes nodes = new Nodes(SECOND, THIRD, FOURTH, FIFTH, "10.0.0.6/6").in("a", SELF, SECOND).in("b", THIRD, FOURTH)
                 .in("c", FIFTH).in("d", "10.0.0.6/6");
         assertThat(next(2, FIVE, nodes), is(FIVE));
