--- a/src/test/java/routerfleet/control/ReplicaStorageTest.java
+++ b/src/test/java/routerfleet/control/ReplicaStorageTest.java
@@ -22,12 +22,12 @@
 import rowanplank.agreement.Snapshot;
 import rowanplank.agreement.Write;
 
-/** What a replica finds on its disk after writes, torn writes and crashes. */
+/** Tests what a replica recovers from its disk after writes, torn writes and crashes. */
 class ReplicaStorageTest {
     private static final List<String> VOTERS = List.of("a/0", "b/0", "c/0");
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private static Entry entry(long index) {
         return Entry.command(index, 1, ("entry " + index).getBytes(StandardCharsets.UTF_8));
@@ -40,7 +40,7 @@
     }
 
     private void fill(int entries) throws IOException {
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             assertThat(storage.open(), is(nullValue()));
             storage.start("a/0", PersistentState.initial(VOTERS));
             store(storage, new Write.Vote(1, "b/0"));
@@ -51,17 +51,17 @@
     }
 
     private ReplicaStorage.StoredReplica open() throws IOException {
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             return storage.open();
         }
     }
 
     private Path newestSlot() throws IOException {
-        return Files.size(folder.resolve("slot-1")) > 0 ? folder.resolve("slot-1") : folder.resolve("slot-0");
+        return Files.size(directory.resolve("slot-1")) > 0 ? directory.resolve("slot-1") : directory.resolve("slot-0");
     }
 
     @Test
-    void whatWasStoredIsThereAgain() throws IOException {
+    void storedStateIsRecovered() throws IOException {
         fill(5);
         ReplicaStorage.StoredReplica opened = open();
         assertThat(opened.replica(), is("a/0"));
@@ -70,10 +70,10 @@
     }
 
     @Test
-    void aTornLastWriteCostsNoEarlierOneWhereverItIsTorn() throws IOException {
+    void aTornLastWriteLosesNoEarlierOne() throws IOException {
         fill(3);
         byte[] before = Files.readAllBytes(newestSlot());
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             storage.open();
             storage.start("a/0", null);
             store(storage, new Write.Entries(List.of(entry(4))));
@@ -89,21 +89,21 @@
     }
 
     @Test
-    void aTornSnapshotLeavesTheOtherSlotInForce() throws IOException {
+    void aTornSnapshotLeavesTheOtherSlotCurrent() throws IOException {
         fill(3);
         Path old = newestSlot();
         byte[] oldBytes = Files.readAllBytes(old);
         Snapshot snapshot = new Snapshot(3, 1, VOTERS, new byte[] {1, 2, 3});
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             storage.open();
             storage.start("a/0", null);
             store(storage, new Write.FullState(new PersistentState(1, "b/0", snapshot, List.of())));
         }
-        Path fresh = folder.resolve(old.endsWith("slot-1") ? "slot-0" : "slot-1");
-        byte[] freshBytes = Files.readAllBytes(fresh);
+        Path newSlot = directory.resolve(old.endsWith("slot-1") ? "slot-0" : "slot-1");
+        byte[] newBytes = Files.readAllBytes(newSlot);
         assertThat(open().saved().snapshot().index(), is(3L));
-        for (int length = 0; length < freshBytes.length; length++) {
-            Files.write(fresh, Arrays.copyOf(freshBytes, length));
+        for (int length = 0; length < newBytes.length; length++) {
+            Files.write(newSlot, Arrays.copyOf(newBytes, length));
             Files.write(old, oldBytes);
             ReplicaStorage.StoredReplica opened = open();
             assertThat(opened, is(notNullValue()));
@@ -112,12 +112,12 @@
     }
 
     @Test
-    void writesGoOnBehindATornTail() throws IOException {
+    void writesContinueAfterATornTail() throws IOException {
         fill(2);
         Path slot = newestSlot();
         byte[] torn = Arrays.copyOf(Files.readAllBytes(slot), (int) Files.size(slot) + 7);
         Files.write(slot, torn);
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             storage.open();
             storage.start("a/0", null);
             store(storage, new Write.Entries(List.of(entry(3))));
@@ -125,16 +125,16 @@
         assertThat(open().saved().entries().size(), is(3));
     }
 
-    /** Guards what was acknowledged: without its folder's sync a slot may be lost whole with the power. */
+    /** Guards acknowledged writes: without a sync of its directory a power loss may remove the whole slot. */
     @Test
-    void nothingIsToldToBeStoredBeforeTheFolderOfItsSlotIsSynced() {
+    void noWriteIsReportedBeforeTheDirectoryIsSynced() {
         AtomicInteger syncs = new AtomicInteger();
-        DirectoryDisk.DirectorySync refusesOnce = synced -> {
+        DirectoryDisk.DirectorySync failsOnce = synced -> {
             if (syncs.getAndIncrement() == 0) {
                 throw new IOException("no space left on device");
             }
         };
-        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(folder, refusesOnce), Runnable::run,
+        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(directory, failsOnce), Runnable::run,
                 new DiskWriter.SingleThread())) {
             storage.start("a/0", null);
             store(storage, new Write.FullState(PersistentState.initial(VOTERS)));
@@ -146,16 +146,16 @@
         }
     }
 
-    /** Guards memory: a disk that hangs is seen, and what waits for it is bounded by who asks. */
+    /** Guards memory: a hanging disk is detected, and callers can bound the writes that wait for it. */
     @Test
-    void aDiskThatHangsIsSeenAndFull() throws Exception {
+    void aHangingDiskIsReportedAsStalledAndFull() throws Exception {
         CompletableFuture<Void> hanging = new CompletableFuture<>();
-        CompletableFuture<Void> goesOn = new CompletableFuture<>();
+        CompletableFuture<Void> resume = new CompletableFuture<>();
         DirectoryDisk.DirectorySync hangs = synced -> {
             hanging.complete(null);
-            goesOn.join();
+            resume.join();
         };
-        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(folder, hangs), Runnable::run,
+        try (ReplicaStorage storage = new ReplicaStorage(new DirectoryDisk(directory, hangs), Runnable::run,
                 new DiskWriter.SingleThread())) {
             storage.open();
             storage.start("a/0", PersistentState.initial(VOTERS));
@@ -169,16 +169,16 @@
             assertThat(storage.pendingWrites(), is(writes));
             assertThat(last.isDone(), is(false));
             assertThat(storage.stalledMs(), is(greaterThanOrEqualTo(0L)));
-            goesOn.complete(null);
+            resume.complete(null);
             last.get(20, TimeUnit.SECONDS);
             assertThat(storage.isFull(), is(false));
         }
     }
 
-    /** Guards founders: killed once it has begun, one comes back as the same replica. */
+    /** Guards the first start: a node that is killed after it returns as the same replica. */
     @Test
-    void aFoundersFirstStateIsOnDiskBeforeItBegins() throws IOException {
-        try (ReplicaStorage storage = new ReplicaStorage(folder, Runnable::run)) {
+    void theInitialStateIsStoredSynchronously() throws IOException {
+        try (ReplicaStorage storage = new ReplicaStorage(directory, Runnable::run)) {
             storage.open();
             storage.storeInitial("a/0", PersistentState.initial(VOTERS));
             assertThat(open().replica(), is("a/0"));
@@ -186,11 +186,12 @@
     }
 
     @Test
-    void aSlotOfTheProcessBeforeIsSyncedWithTheFirstWrite() throws IOException {
+    void aSlotOfAPreviousProcessIsSyncedWithTheFirstWrite() throws IOException {
         fill(2);
         AtomicInteger syncs = new AtomicInteger();
         try (ReplicaStorage storage = new ReplicaStorage(
-                new DirectoryDisk(folder, synced -> syncs.incrementAndGet()), Runnable::run, new DiskWriter.SingleThread())) {
+                new DirectoryDisk(directory, synced -> syncs.incrementAndGet()), Runnable::run,
+                new DiskWriter.SingleThread())) {
             assertThat(storage.open().saved().entries().size(), is(2));
             storage.start("a/0", null);
             store(storage, new Write.Entries(List.of(entry(3))));
--- a/src/test/java/routerfleet/control/SimulatedClients.java
+++ b/src/test/java/routerfleet/control/SimulatedClients.java
@@ -9,46 +9,49 @@
 import java.util.regex.Pattern;
 import routerfleet.simulation.VirtualWorld;
 
-/** Operators, readers and model servers of a simulated control plane, as the operators' pages describe them. */
+/**
+ * The operators, readers and model servers of a simulated control plane, behaving as the operators' documentation
+ * describes.
+ */
 final class SimulatedClients {
     private static final Pattern GENERATION = Pattern.compile("\"generation\":(\\d+)");
     private static final String GET = SimulatedHttp.request("GET", "/rowanplank/config/get", "", "");
-    private static final String NOWHERE = SimulatedHttp.request("GET", "/nowhere", "", "");
-    private static final int MOST_PAUSE_MS = 400;
+    private static final String UNKNOWN_PATH = SimulatedHttp.request("GET", "/nowhere", "", "");
+    private static final int MAX_DELAY_MS = 400;
     private static final long DRAIN_MS = 2_000;
 
     private final VirtualWorld world;
     private final Random random;
     private final SimulatedHttp http;
     private final Supplier<List<SimulatedMachine>> machines;
-    private final Observations seen;
+    private final Observations observations;
     private final int filler;
-    /** Operators give one order after the other, without a pause. */
-    private final boolean hurried;
+    /** Whether operators send one update right after the other, without a pause. */
+    private final boolean withoutPauses;
     private long endMs;
     private int lastServer;
     private Runnable onAcknowledged = () -> { };
-    private final List<AcknowledgedEnd> endings = new ArrayList<>();
+    private final List<AcknowledgedEnd> acknowledgedEnds = new ArrayList<>();
 
-    /** A server whose end was acknowledged. */
+    /** A server whose drain or deregistration was acknowledged. */
     record AcknowledgedEnd(String uid, long acknowledgedMs) { }
 
     /**
-     * @param filler bytes that each configuration is larger by
-     * @param hurried whether hundreds of orders are given
+     * @param filler how many bytes of padding each configuration has
+     * @param withoutPauses whether operators send updates without pauses, which makes hundreds of them
      */
     SimulatedClients(VirtualWorld world, long seed, SimulatedHttp http, Supplier<List<SimulatedMachine>> machines,
-            Observations seen, int filler, boolean hurried) {
-        this.hurried = hurried;
+            Observations observations, int filler, boolean withoutPauses) {
+        this.withoutPauses = withoutPauses;
         this.world = world;
         random = new Random(seed);
         this.http = http;
         this.machines = machines;
-        this.seen = seen;
+        this.observations = observations;
         this.filler = filler;
     }
 
-    /** Begins. @param untilMs until when new orders are given */
+    /** Starts all clients. @param untilMs when operators stop sending new updates */
     void start(int operators, int readers, int servers, long untilMs) {
         endMs = untilMs;
         for (int i = 0; i < operators; i++) {
@@ -56,50 +59,50 @@
             world.afterMs(300 + random.nextInt(300), operator::next);
         }
         for (int i = 0; i < readers; i++) {
-            world.afterMs(1_000 + random.nextInt(300), this::readOn);
+            world.afterMs(1_000 + random.nextInt(300), this::readRepeatedly);
         }
         for (int i = 0; i < servers; i++) {
             startServer();
         }
     }
 
-    /** Run at each acknowledgement of an order from now on. */
-    void onAcknowledged(Runnable strike) {
-        onAcknowledged = strike;
+    /** Sets a callback for each further acknowledgement of an update. */
+    void onAcknowledged(Runnable callback) {
+        onAcknowledged = callback;
     }
 
     List<AcknowledgedEnd> acknowledgedEnds() {
-        return endings;
+        return acknowledgedEnds;
     }
 
-    private SimulatedMachine any() {
+    private SimulatedMachine anyMachine() {
         List<SimulatedMachine> all = machines.get();
         return all.get(random.nextInt(all.size()));
     }
 
     // ---- readers
 
-    private void readOn() {
+    private void readRepeatedly() {
         if (world.nowMs() > endMs + 60_000) {
             return;
         }
         read(answer -> { });
-        world.afterMs(80 + random.nextInt(250), this::readOn);
+        world.afterMs(80 + random.nextInt(250), this::readRepeatedly);
     }
 
-    /** Reads the configuration at any node. @param generation given what was read; negative where nothing was */
+    /** Reads the configuration at a random node. @param generation receives the generation; negative if the read failed */
     void read(Consumer<Long> generation) {
-        readAt(any(), generation);
+        readAt(anyMachine(), generation);
     }
 
-    /** Reads the configuration at a node. @param generation given what was read; negative where nothing was */
+    /** Reads the configuration at a node. @param generation receives the generation; negative if the read failed */
     void readAt(SimulatedMachine machine, Consumer<Long> generation) {
         long sent = world.nowNanos();
-        boolean two = random.nextInt(4) == 0;
-        http.call(machine, two ? List.of(GET, NOWHERE) : List.of(GET), answers -> {
+        boolean pipelined = random.nextInt(4) == 0;
+        http.call(machine, pipelined ? List.of(GET, UNKNOWN_PATH) : List.of(GET), answers -> {
             SimulatedHttp.Response answer = answers.get(0);
-            if (answer.status() == 404 || two && answers.get(1).status() != 404 && answers.get(1).status() != 0) {
-                seen.violations.add("the answer to another request came at " + machine.ip);
+            if (answer.status() == 404 || pipelined && answers.get(1).status() != 404 && answers.get(1).status() != 0) {
+                observations.violations.add("the response to another request arrived from " + machine.ip);
             }
             generation.accept(observe(machine, sent, answer));
         });
@@ -111,7 +114,7 @@
             return -1;
         }
         long read = Long.parseLong(matcher.group(1));
-        seen.reads.add(new Observations.Read(machine.ip, sent, world.nowNanos(), read, answer.body()));
+        observations.reads.add(new Observations.Read(machine.ip, sent, world.nowNanos(), read, answer.body()));
         return read;
     }
 
@@ -120,7 +123,7 @@
     private final class Operator {
         private final String name;
         private long base;
-        private int orders;
+        private int updateCount;
 
         Operator(String name) {
             this.name = name;
@@ -130,61 +133,61 @@
             if (world.nowMs() > endMs) {
                 return;
             }
-            String marker = name + "-" + ++orders;
+            String marker = name + "-" + ++updateCount;
             long generation = base + 1 + random.nextInt(3);
             boolean patch = base > 0 && random.nextInt(3) == 0;
             String body = patch
                     ? "{\"generation\":" + generation + ",\"upsert\":{\"labels\":[{\"name\":\"" + marker + "\"}]}}"
                     : "{\"generation\":" + generation + ",\"mark\":\"" + marker + "\",\"rest\":\"" + "x".repeat(filler)
                             + "\"}";
-            Observations.Update order = new Observations.Update(marker, base, generation, world.nowNanos());
-            seen.updates.put(marker, order);
-            send(order, SimulatedHttp.request("POST", "/rowanplank/config/" + (patch ? "patch" : "replace"),
+            Observations.Update update = new Observations.Update(marker, base, generation, world.nowNanos());
+            observations.updates.put(marker, update);
+            send(update, SimulatedHttp.request("POST", "/rowanplank/config/" + (patch ? "patch" : "replace"),
                     "Rowanplank-Base-Version: " + base + "\r\n", body), 0);
         }
 
-        private void send(Observations.Update order, String request, int tries) {
+        private void send(Observations.Update update, String request, int attempts) {
             long sent = world.nowNanos();
-            http.call(any(), request, answer -> {
-                order.responses.add(new Observations.Response(sent, world.nowNanos(), answer.status()));
+            http.call(anyMachine(), request, answer -> {
+                update.responses.add(new Observations.Response(sent, world.nowNanos(), answer.status()));
                 if (answer.status() == 200) {
-                    base = order.generation;
+                    base = update.generation;
                     onAcknowledged.run();
                     if (random.nextInt(3) == 0) {
-                        send(order, request, tries + 1); // as if the answer had been lost
+                        send(update, request, attempts + 1); // as if the response had been lost
                     } else {
                         pause(this::next);
                     }
                 } else if (answer.status() == 412) {
-                    learn();
+                    readCurrentVersion();
                 } else if (answer.status() / 100 == 4) {
                     pause(this::next);
                 } else if (world.nowMs() < endMs + 40_000) {
-                    world.afterMs(Math.min(MOST_PAUSE_MS, 30L * (tries + 1)), () -> send(order, request, tries + 1));
+                    world.afterMs(Math.min(MAX_DELAY_MS, 30L * (attempts + 1)), () -> send(update, request, attempts + 1));
                 }
             });
         }
 
-        private void learn() {
+        private void readCurrentVersion() {
             read(generation -> {
                 if (generation >= 0) {
                     base = Math.max(base, generation);
                     pause(this::next);
                 } else if (world.nowMs() < endMs) {
-                    world.afterMs(100, this::learn);
+                    world.afterMs(100, this::readCurrentVersion);
                 }
             });
         }
 
         private void pause(Runnable then) {
-            world.afterMs(hurried ? 5 : random.nextInt(4) == 0 ? 1_500 : 20 + random.nextInt(400), then);
+            world.afterMs(withoutPauses ? 5 : random.nextInt(4) == 0 ? 1_500 : 20 + random.nextInt(400), then);
         }
     }
 
     // ---- servers
 
     private void startServer() {
-        new ModelServer("server-" + ++lastServer, world.nowMs() + 4_000 + random.nextInt(12_000)).beat();
+        new ModelServer("server-" + ++lastServer, world.nowMs() + 4_000 + random.nextInt(12_000)).sendHeartbeat();
     }
 
     private final class ModelServer {
@@ -199,7 +202,7 @@
             this.drainsAtMs = drainsAtMs;
         }
 
-        void beat() {
+        void sendHeartbeat() {
             if (ended) {
                 return;
             }
@@ -211,34 +214,34 @@
                     return;
                 }
             }
-            boolean drains = draining;
+            boolean reportsDraining = draining;
             String request = heartbeat();
-            Runnable send = () -> http.call(any(), request, answer -> answered(drains, answer));
+            Runnable send = () -> http.call(anyMachine(), request, answer -> answered(reportsDraining, answer));
             if (random.nextInt(20) == 0) {
-                world.afterMs(500 + random.nextInt(1_500), send); // late on its way, while others follow
-                world.afterMs(SimulatedMachine.HEARTBEAT_MS, this::beat);
+                world.afterMs(500 + random.nextInt(1_500), send); // delayed in transit, while later heartbeats follow
+                world.afterMs(SimulatedMachine.HEARTBEAT_MS, this::sendHeartbeat);
             } else {
                 send.run();
             }
         }
 
-        private void answered(boolean drains, SimulatedHttp.Response answer) {
+        private void answered(boolean reportsDraining, SimulatedHttp.Response answer) {
             if (ended) {
                 return;
             }
-            if (drains && answer.status() == 200) {
+            if (reportsDraining && answer.status() == 200) {
                 acknowledged();
                 ended = true;
                 world.afterMs(DRAIN_MS + random.nextInt(2_000), () -> deregister(false));
-                beatsWhileDraining();
+                sendOneMoreHeartbeat();
                 return;
             }
-            world.afterMs(answer.status() == 200 ? SimulatedMachine.HEARTBEAT_MS : 60, this::beat);
+            world.afterMs(answer.status() == 200 ? SimulatedMachine.HEARTBEAT_MS : 60, this::sendHeartbeat);
         }
 
-        private void beatsWhileDraining() {
+        private void sendOneMoreHeartbeat() {
             String request = heartbeat();
-            world.afterMs(SimulatedMachine.HEARTBEAT_MS, () -> http.call(any(), request, answer -> { }));
+            world.afterMs(SimulatedMachine.HEARTBEAT_MS, () -> http.call(anyMachine(), request, answer -> { }));
         }
 
         private String heartbeat() {
@@ -249,12 +252,12 @@
         }
 
         private void acknowledged() {
-            seen.drainsAcknowledged++;
-            endings.add(new AcknowledgedEnd(uid, world.nowMs()));
+            observations.drainsAcknowledged++;
+            acknowledgedEnds.add(new AcknowledgedEnd(uid, world.nowMs()));
         }
 
         private void deregister(boolean first) {
-            http.call(any(), SimulatedHttp.request("POST", "/rowanplank/instances/" + uid + "/deregister", "", ""),
+            http.call(anyMachine(), SimulatedHttp.request("POST", "/rowanplank/instances/" + uid + "/deregister", "", ""),
                     answer -> {
                         if (first && answer.status() != 200) {
                             world.afterMs(100, () -> deregister(true));
--- a/src/test/java/routerfleet/control/SimulatedDisk.java
+++ b/src/test/java/routerfleet/control/SimulatedDisk.java
@@ -14,57 +14,61 @@
 import routerfleet.simulation.VirtualWorld;
 
 /**
- * A disk in virtual time. What a process has written outlives it; a loss of power keeps what was synced, and of each later
- * write and each later entry of the folder all, nothing or a part. It may be full, slow, or hang; and the power may be set
- * to fail at one of its operations.
+ * A disk in virtual time. Writes survive the process that made them. A power loss keeps synced data; each later write
+ * survives completely, partly or not at all, and each later directory entry survives or not. The disk may be full, slow or
+ * hanging, and power can be set to fail at a certain operation.
  */
 final class SimulatedDisk implements Disk {
-    /** A file's synced bytes, and what was done to it since. */
+    /** A file's synced bytes, its current bytes, and the changes since the last sync. */
     private static final class Content {
         private byte[] synced = new byte[0];
         private byte[] current = new byte[0];
         private final List<Change> changes = new ArrayList<>();
     }
 
-    /** A write, or a clearing where there are no bytes. */
+    /** A write; without bytes, a truncation. */
     private record Change(int position, byte[] bytes) { }
 
     private final Random random;
     private final Map<String, Content> files = new TreeMap<>();
-    private final Map<String, Content> entered = new TreeMap<>();
+    private final Map<String, Content> syncedEntries = new TreeMap<>();
     private boolean full;
-    private int powerFailsAfter = -1;
-    private int snapshotFailsAfter = -1;
-    /** Planted fault: a sync tells that it is done and does nothing. */
-    private final boolean syncsNothing;
-    /** Planted fault: the folder is never synced. */
-    private final boolean forgetsFolder;
-
-    SimulatedDisk(Random random, boolean syncsNothing, boolean forgetsFolder) {
+    private int operationsUntilPowerLoss = -1;
+    private int snapshotOperationsUntilPowerLoss = -1;
+    /** Injected fault: a file sync reports success and does nothing. */
+    private final boolean syncDoesNothing;
+    /** Injected fault: a directory sync reports success and does nothing. */
+    private final boolean directorySyncDoesNothing;
+
+    SimulatedDisk(Random random, boolean syncDoesNothing, boolean directorySyncDoesNothing) {
         this.random = random;
-        this.syncsNothing = syncsNothing;
-        this.forgetsFolder = forgetsFolder;
+        this.syncDoesNothing = syncDoesNothing;
+        this.directorySyncDoesNothing = directorySyncDoesNothing;
     }
 
     void setFull(boolean isFull) {
         full = isFull;
     }
 
-    /** Sets the power to fail at the operation after so many. */
+    /** Makes power fail at an operation. @param operations how many succeed before; negative for never */
     void failPowerAfter(int operations) {
-        powerFailsAfter = operations;
+        operationsUntilPowerLoss = operations;
     }
 
-    /** Sets the power to fail so many operations after the next snapshot's slot is cleared; negative for never. */
+    /**
+     * Makes power fail during the next snapshot.
+     *
+     * @param operations how many succeed after the truncation; negative for never
+     */
     void failPowerInSnapshotAfter(int operations) {
-        snapshotFailsAfter = operations;
+        snapshotOperationsUntilPowerLoss = operations;
     }
 
-    /** The power has failed: what was not synced is there, gone or torn. */
+    /** Simulates a power loss: unsynced changes are kept, lost or torn at random. */
     void losePower() {
-        powerFailsAfter = -1;
-        snapshotFailsAfter = -1;
-        Map<String, Content> after = new TreeMap<>(entered);
+        operationsUntilPowerLoss = -1;
+        snapshotOperationsUntilPowerLoss = -1;
+        Map<String, Content> after = new TreeMap<>(syncedEntries);
         files.forEach((name, content) -> {
             if (random.nextBoolean()) {
                 after.put(name, content);
@@ -72,20 +76,20 @@
         });
         files.clear();
         files.putAll(after);
-        entered.clear();
-        entered.putAll(after);
-        boolean allGone = random.nextInt(4) == 0;
-        files.values().forEach(content -> tear(content, allGone));
+        syncedEntries.clear();
+        syncedEntries.putAll(after);
+        boolean allLost = random.nextInt(4) == 0;
+        files.values().forEach(content -> tear(content, allLost));
     }
 
-    private void tear(Content content, boolean allGone) {
+    private void tear(Content content, boolean allLost) {
         byte[] bytes = content.synced;
         for (Change change : content.changes) {
-            int lot = allGone ? 0 : random.nextInt(3);
-            if (lot == 1 && change.bytes().length > 0) {
+            int choice = allLost ? 0 : random.nextInt(3);
+            if (choice == 1 && change.bytes().length > 0) {
                 bytes = applied(bytes, new Change(change.position(),
                         Arrays.copyOf(change.bytes(), random.nextInt(change.bytes().length))));
-            } else if (lot == 2) {
+            } else if (choice == 2) {
                 bytes = applied(bytes, change);
             }
         }
@@ -103,8 +107,8 @@
         return after;
     }
 
-    private void operate(boolean needsRoom) throws IOException {
-        if (powerFailsAfter >= 0 && powerFailsAfter-- == 0) {
+    private void checkOperation(boolean needsRoom) throws IOException {
+        if (operationsUntilPowerLoss >= 0 && operationsUntilPowerLoss-- == 0) {
             throw new VirtualProcess.PowerLossException();
         }
         if (full && needsRoom) {
@@ -121,7 +125,7 @@
     @Override
     public DiskFile open(String name) throws IOException {
         if (!files.containsKey(name)) {
-            operate(true);
+            checkOperation(true);
             files.put(name, new Content());
         }
         return new OpenFile(files.get(name), name.startsWith("slot-"));
@@ -129,10 +133,10 @@
 
     @Override
     public void syncDirectory() throws IOException {
-        operate(false);
-        if (!forgetsFolder) {
-            entered.clear();
-            entered.putAll(files);
+        checkOperation(false);
+        if (!directorySyncDoesNothing) {
+            syncedEntries.clear();
+            syncedEntries.putAll(files);
         }
     }
 
@@ -147,7 +151,7 @@
 
         @Override
         public void write(long position, ByteBuffer bytes) throws IOException {
-            operate(true);
+            checkOperation(true);
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
             change(new Change((int) position, copy));
@@ -155,10 +159,10 @@
 
         @Override
         public void truncate() throws IOException {
-            operate(false);
+            checkOperation(false);
             change(new Change(0, new byte[0]));
-            if (isSlot && snapshotFailsAfter >= 0) {
-                powerFailsAfter = snapshotFailsAfter;
+            if (isSlot && snapshotOperationsUntilPowerLoss >= 0) {
+                operationsUntilPowerLoss = snapshotOperationsUntilPowerLoss;
             }
         }
 
@@ -169,8 +173,8 @@
 
         @Override
         public void sync() throws IOException {
-            operate(false);
-            if (!syncsNothing) {
+            checkOperation(false);
+            if (!syncDoesNothing) {
                 content.synced = content.current;
                 content.changes.clear();
             }
@@ -178,11 +182,11 @@
 
         @Override
         public void close() {
-            // nothing to give back
+            // no resources to release
         }
     }
 
-    /** The thread that writes to this disk, for one life of a process. */
+    /** The disk writer thread of one process. */
     static final class Writer implements DiskWriter {
         private final VirtualWorld world;
         private final VirtualProcess process;
@@ -196,12 +200,12 @@
             this.process = process;
         }
 
-        /** Each write takes so long. */
+        /** Sets the duration of each write. */
         void setLatencyMs(long changed) {
             latencyMs = changed;
         }
 
-        /** Answers nothing, or goes on. */
+        /** Makes the disk hang, or resumes it. */
         void setHanging(boolean hangs) {
             hanging = hangs;
             next();
--- a/src/test/java/routerfleet/control/SimulatedMachine.java
+++ b/src/test/java/routerfleet/control/SimulatedMachine.java
@@ -16,24 +16,29 @@
 import routerfleet.wire.PeerCodec;
 import routerfleet.wire.PeerNetwork;
 
-/** A machine of a simulated core: its disk, its power, and one life of a control service after the other on it. */
+/** A simulated machine with its disk and power supply, on which processes of a control service run one after the other. */
 final class SimulatedMachine {
     static final int INTERNAL_PORT = 9_000;
     static final int HEARTBEAT_MS = 400;
     private static final long LOAD_RETRY_MS = 100;
 
-    /** What all machines of a run share. */
+    /** What all machines of a simulation share. */
     record Environment(VirtualWorld world, SimulatedNetwork network, PeerCodec codec, int toleratedHosts,
             InjectedFault fault) { }
 
-    /** Where a machine stands. @param toleratedZones how many zones may be lost at once */
+    /**
+     * The location of a machine.
+     *
+     * @param toleratedZones how many zones may be lost at once
+     * @param zones all zones of the fleet
+     */
     record Location(String zone, int toleratedZones, Set<String> zones) {
         static final Location SINGLE_ZONE = new Location("a", 0, Set.of("a"));
     }
 
     final String ip;
-    private final Location place;
-    private final Environment surroundings;
+    private final Location location;
+    private final Environment environment;
     private final SplittableRandom random;
     private SimulatedDisk disk;
     private SimulatedDisk.Writer writer;
@@ -45,65 +50,71 @@
     private boolean frozen;
     private boolean diskHangs;
     private long diskLatencyMs = 2;
-    /** Its disk was lost, and the group may not have made up for it yet. */
-    private boolean diskLossOpen;
-    private int lives;
-    private UnaryOperator<ControlHttp.Handler> intercepting = UnaryOperator.identity();
+    /** Whether its disk was lost and the replica group may not have replaced it yet. */
+    private boolean diskLossPending;
+    private int processStarts;
+    private UnaryOperator<ControlHttp.Handler> handlerInterceptor = UnaryOperator.identity();
 
-    SimulatedMachine(String ip, Environment surroundings, long seed) {
-        this(ip, Location.SINGLE_ZONE, surroundings, seed);
+    SimulatedMachine(String ip, Environment environment, long seed) {
+        this(ip, Location.SINGLE_ZONE, environment, seed);
     }
 
-    SimulatedMachine(String ip, Location place, Environment surroundings, long seed) {
+    SimulatedMachine(String ip, Location location, Environment environment, long seed) {
         this.ip = ip;
-        this.place = place;
-        this.surroundings = surroundings;
+        this.location = location;
+        this.environment = environment;
         random = new SplittableRandom(seed);
         newDisk();
     }
 
     private void newDisk() {
         disk = new SimulatedDisk(new java.util.Random(random.nextLong()),
-                surroundings.fault() == InjectedFault.SYNC_DOES_NOTHING,
-                surroundings.fault() == InjectedFault.FOLDER_IS_NOT_SYNCED);
+                environment.fault() == InjectedFault.SYNC_DOES_NOTHING,
+                environment.fault() == InjectedFault.FOLDER_IS_NOT_SYNCED);
     }
 
-    /** Starts a process. @param bootstrap whether the whole system starts for the first time */
+    /**
+     * Starts a process, unless one is running or the machine is off.
+     *
+     * @param bootstrap for the first start of the whole system
+     */
     void start(boolean bootstrap, List<HostPort> seeds) {
         if (removed || !powered || isUp()) {
             return;
         }
         frozen = false;
-        lives++;
-        VirtualProcess life = new VirtualProcess(surroundings.world(), random.nextLong() >> 2, () -> losePower());
-        process = life;
-        writer = new SimulatedDisk.Writer(surroundings.world(), life);
+        processStarts++;
+        VirtualProcess newProcess = new VirtualProcess(environment.world(), random.nextLong() >> 2, () -> losePower());
+        process = newProcess;
+        writer = new SimulatedDisk.Writer(environment.world(), newProcess);
         writer.setLatencyMs(diskLatencyMs);
         writer.setHanging(diskHangs);
-        ReplicaStorage storage = surroundings.fault().storage(disk, life, writer);
-        LocalSettings settings = new LocalSettings("core-" + ip, ip, place.zone(), null, null, null, INTERNAL_PORT,
-                seeds, bootstrap, Path.of("/"), HEARTBEAT_MS, surroundings.toleratedHosts(), place.toleratedZones(),
-                place.zones(), Bounds.defaults());
-        RandomGenerator draws = random.split();
-        ControlService started = new ControlService(settings, life, surroundings.network().of(ip, life),
-                surroundings.codec(), storage, draws, surroundings.fault().serviceFactory(surroundings.toleratedHosts()));
-        load(life, started, draws);
-    }
-
-    private void load(VirtualProcess life, ControlService started, RandomGenerator draws) {
-        life.execute(() -> {
+        ReplicaStorage storage = environment.fault().storage(disk, newProcess, writer);
+        LocalSettings settings = new LocalSettings("core-" + ip, ip, location.zone(), null, null, null, INTERNAL_PORT,
+                seeds, bootstrap, Path.of("/"), HEARTBEAT_MS, environment.toleratedHosts(), location.toleratedZones(),
+                location.zones(), Bounds.defaults());
+        RandomGenerator processRandom = random.split();
+        ControlService started = new ControlService(settings, newProcess, environment.network().of(ip, newProcess),
+                environment.codec(), storage, processRandom,
+                environment.fault().serviceFactory(environment.toleratedHosts()));
+        load(newProcess, started, processRandom);
+    }
+
+    private void load(VirtualProcess newProcess, ControlService started, RandomGenerator processRandom) {
+        newProcess.execute(() -> {
             try {
-                started.load(() -> draws.nextLong() >>> 2);
+                started.load(() -> processRandom.nextLong() >>> 2);
                 started.start();
                 started.listenToPeers().accept();
                 PeerNetwork.Listener dataNodes = started.listenToDataNodes();
                 service = started;
                 started.runOnceLeaderKnown(() -> {
                     dataNodes.accept();
-                    handler = intercepting.apply(surroundings.fault().handler(started::handle));
+                    handler = handlerInterceptor.apply(environment.fault().handler(started::handle));
                 });
             } catch (IOException e) {
-                life.schedule(() -> load(life, started, draws), LOAD_RETRY_MS, java.util.concurrent.TimeUnit.MILLISECONDS);
+                newProcess.schedule(() -> load(newProcess, started, processRandom), LOAD_RETRY_MS,
+                        java.util.concurrent.TimeUnit.MILLISECONDS);
             }
         });
     }
@@ -112,12 +123,12 @@
         return process != null && process.isAlive();
     }
 
-    /** Whether it runs and nothing is the matter with it. */
+    /** Whether its process is up and neither the process nor the disk is impaired. */
     boolean isHealthy() {
         return isUp() && service != null && !frozen && !diskHangs && diskLatencyMs <= 2;
     }
 
-    /** What an operator would look at. */
+    /** The state of its replica in one line, for failure messages. */
     String describe() {
         return ip + (service == null ? " has no service" : " " + service.replica() + " " + service.group().describe());
     }
@@ -138,7 +149,7 @@
         return disk;
     }
 
-    /** Who answers HTTP requests; null while nobody does. */
+    /** The handler of HTTP requests; null while none are accepted. */
     ControlHttp.Handler handler() {
         return isUp() ? handler : null;
     }
@@ -148,71 +159,71 @@
     }
 
     String zone() {
-        return place.zone();
+        return location.zone();
     }
 
-    /** How many processes have been started here. */
+    /** How many processes have been started on this machine. */
     int processStarts() {
-        return lives;
+        return processStarts;
     }
 
-    /** Lets something else answer requests from the next start on, or look at them. */
+    /** Wraps the HTTP handler from the next process start on. */
     void intercept(UnaryOperator<ControlHttp.Handler> interceptor) {
-        intercepting = interceptor;
+        handlerInterceptor = interceptor;
     }
 
-    /** Ends the process: its machine goes on. */
+    /** Kills the process; the machine keeps running. */
     void kill() {
         if (isUp()) {
             process.kill();
-            surroundings.network().killed(ip, process);
-            ended();
+            environment.network().killed(ip, process);
+            clearProcess();
         }
     }
 
-    private void ended() {
+    private void clearProcess() {
         process = null;
         service = null;
         handler = null;
         frozen = false;
     }
 
-    /** The power fails: what is not synced may be gone. */
+    /** Cuts the power: the process ends, and unsynced data may be lost. */
     void losePower() {
         powered = false;
         if (process != null) {
             process.kill();
         }
-        surroundings.network().darken(ip);
-        ended();
+        environment.network().darken(ip);
+        clearProcess();
         disk.losePower();
     }
 
-    /** Power again; a process starts by itself. */
+    /** Restores the power without starting a process. */
     void restorePower() {
         powered = true;
-        surroundings.network().lighten(ip);
+        environment.network().lighten(ip);
     }
 
-    /** Loses its power and its disk. */
+    /** Cuts the power and replaces the disk by an empty one. */
     void wipe() {
         losePower();
         newDisk();
-        diskLossOpen = true;
+        diskLossPending = true;
     }
 
-    /** Is gone for good, with its disk. */
+    /** Removes the machine and its disk for good. */
     void remove() {
         losePower();
         removed = true;
     }
 
     boolean diskLossPending() {
-        return diskLossOpen;
+        return diskLossPending;
     }
 
-    void diskLossPending(boolean open) {
-        diskLossOpen = open;
+    void diskLossPending(boolean pending) {
+        diskLossPending = pending;
     }
 
     void freeze() {
--- a/src/test/java/routerfleet/control/SimulationCampaign.java
+++ b/src/test/java/routerfleet/control/SimulationCampaign.java
@@ -6,9 +6,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Many simulated control planes, one after the other on each of so many threads. Arguments: tolerated losses, first seed,
- * count, threads, and a planted fault where there is to be one. Prints what was found, with the fewest faults that bring it
- * about.
+ * Command line program that runs many control plane simulations on several threads. Arguments: tolerated losses, first
+ * seed, number of runs, number of threads, and optionally the name of an {@link InjectedFault}. Prints the violations
+ * found, the first three with a reduced fault plan that still causes them. Exits with status 1 if there was any.
+ *
+ * <p>{@code planted RUNS THREADS} prints for each injected fault the first run that finds it. {@code trace TOLERATED SEED
+ * INTERVAL_MS} runs one seed with a reduced fault plan and prints the state of the replicas at the given interval.
  */
 final class SimulationCampaign {
     private SimulationCampaign() { }
@@ -19,7 +22,7 @@
             return;
         }
         if (arguments[0].equals("planted")) {
-            findPlanted(Integer.parseInt(arguments[1]), Integer.parseInt(arguments[2]));
+            findInjected(Integer.parseInt(arguments[1]), Integer.parseInt(arguments[2]));
             return;
         }
         int tolerated = Integer.parseInt(arguments[0]);
@@ -29,13 +32,13 @@
         InjectedFault fault = arguments.length > 4 ? InjectedFault.valueOf(arguments[4]) : InjectedFault.NONE;
         AtomicInteger broken = new AtomicInteger();
         AtomicLong next = new AtomicLong(first);
-        List<Thread> all = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
+        List<Thread> workers = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
             for (long seed = next.getAndIncrement(); seed < first + count; seed = next.getAndIncrement()) {
-                play(seed, tolerated, fault, broken);
+                runSeed(seed, tolerated, fault, broken);
             }
         })).toList();
-        all.forEach(Thread::start);
-        for (Thread thread : all) {
+        workers.forEach(Thread::start);
+        for (Thread thread : workers) {
             thread.join();
         }
         System.out.println(count + " runs that tolerate " + tolerated + " losses, from seed " + first + ", fault " + fault
@@ -43,55 +46,61 @@
         System.exit(broken.get() == 0 ? 0 : 1);
     }
 
-    /** Shows one run with the fewest faults that break it. */
+    /** Reduces the fault plan of a failing run and traces that run. */
     private static void trace(int tolerated, long seed, long everyMs) {
-        FaultPlan fewest = shrunk(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), InjectedFault.NONE);
-        fewest.faults().forEach(System.out::println);
-        System.out.println(new ControlPlaneSimulation(seed, tolerated, fewest, InjectedFault.NONE).withTrace(everyMs).run());
+        FaultPlan smallest = shrink(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), InjectedFault.NONE);
+        smallest.faults().forEach(System.out::println);
+        System.out.println(new ControlPlaneSimulation(seed, tolerated, smallest, InjectedFault.NONE).withTrace(everyMs)
+                .run());
     }
 
-    /** Says of each planted fault in which run it is found first. @param most runs of three replicas, then of five */
-    private static void findPlanted(int most, int threads) throws InterruptedException {
+    /**
+     * Prints for each injected fault the first run that finds it.
+     *
+     * @param maxRuns limit for three replicas, then for five
+     */
+    private static void findInjected(int maxRuns, int threads) throws InterruptedException {
         AtomicInteger next = new AtomicInteger(1);
-        List<Thread> all = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
+        List<Thread> workers = IntStream.range(0, threads).mapToObj(i -> new Thread(() -> {
             for (int f = next.getAndIncrement(); f < InjectedFault.values().length; f = next.getAndIncrement()) {
                 InjectedFault fault = InjectedFault.values()[f];
                 if (fault.isTallyFault()) {
                     continue;
                 }
-                String found = found(fault, 1, most);
-                System.out.println(fault + " | " + (found != null ? found : found(fault, 2, most)));
+                String found = findFirst(fault, 1, maxRuns);
+                System.out.println(fault + " | " + (found != null ? found : findFirst(fault, 2, maxRuns)));
             }
         })).toList();
-        all.forEach(Thread::start);
-        for (Thread thread : all) {
+        workers.forEach(Thread::start);
+        for (Thread thread : workers) {
             thread.join();
         }
     }
 
-    private static String found(InjectedFault fault, int tolerated, int most) {
-        for (int seed = 1; seed <= most; seed++) {
-            String wrong = wrong(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), fault);
-            if (wrong != null) {
-                return (2 * tolerated + 1) + " replicas, run " + seed + ": " + wrong;
+    private static String findFirst(InjectedFault fault, int tolerated, int maxRuns) {
+        for (int seed = 1; seed <= maxRuns; seed++) {
+            String violation = violation(seed, tolerated, ControlPlaneSimulation.randomPlan(seed), fault);
+            if (violation != null) {
+                return (2 * tolerated + 1) + " replicas, run " + seed + ": " + violation;
             }
         }
         return null;
     }
 
-    private static void play(long seed, int tolerated, InjectedFault fault, AtomicInteger broken) {
+    private static void runSeed(long seed, int tolerated, InjectedFault fault, AtomicInteger broken) {
         FaultPlan plan = ControlPlaneSimulation.randomPlan(seed);
-        String wrong = wrong(seed, tolerated, plan, fault);
-        if (wrong != null && broken.incrementAndGet() <= 3) {
-            FaultPlan fewest = shrunk(seed, tolerated, plan, fault);
-            System.out.println("seed " + seed + ": " + wrong + "\n  still with: " + wrong(seed, tolerated, fewest, fault)
-                    + "\n  " + fewest.faults());
-        } else if (wrong != null) {
-            System.out.println("seed " + seed + ": " + wrong);
+        String violation = violation(seed, tolerated, plan, fault);
+        if (violation != null && broken.incrementAndGet() <= 3) {
+            FaultPlan smallest = shrink(seed, tolerated, plan, fault);
+            System.out.println("seed " + seed + ": " + violation
+                    + "\n  still with: " + violation(seed, tolerated, smallest, fault)
+                    + "\n  " + smallest.faults());
+        } else if (violation != null) {
+            System.out.println("seed " + seed + ": " + violation);
         }
     }
 
-    private static String wrong(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
+    private static String violation(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
         try {
             return new ControlPlaneSimulation(seed, tolerated, plan, fault).run();
         } catch (RuntimeException e) {
@@ -99,14 +108,14 @@
         }
     }
 
-    private static FaultPlan shrunk(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
-        FaultPlan fewest = plan;
-        for (FaultPlan.Fault left : plan.faults()) {
-            FaultPlan fewer = fewest.without(left);
-            if (wrong(seed, tolerated, fewer, fault) != null) {
-                fewest = fewer;
+    private static FaultPlan shrink(long seed, int tolerated, FaultPlan plan, InjectedFault fault) {
+        FaultPlan smallest = plan;
+        for (FaultPlan.Fault omitted : plan.faults()) {
+            FaultPlan fewer = smallest.without(omitted);
+            if (violation(seed, tolerated, fewer, fault) != null) {
+                smallest = fewer;
             }
         }
-        return fewest;
+        return smallest;
     }
 }
