--- a/src/main/java/routerfleet/control/ConfigUpdateQueue.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateQueue.java
@@ -13,122 +13,124 @@
 import routerfleet.config.ConfigStore;
 
 /**
- * The orders that wait at a leader, one at a time: its leadership is confirmed after the order has come, the order is
- * examined against the state that holds then, and only then is it refused or proposed. Since an examination takes time,
- * leadership is confirmed once more before an order is found invalid. So no replaced leader refuses what another one has
- * acknowledged.
+ * The configuration updates that wait at a leader, handled one at a time: after an update has arrived, the leader has its
+ * leadership confirmed, validates the update against the state of that moment, and only then rejects or proposes it.
+ * Since validation takes time, leadership is confirmed once more before an update is reported as invalid. So a replaced
+ * leader rejects no update that another leader has acknowledged.
  *
- * <p>Bound: {@value #MOST_WAITING} orders.
+ * <p>Limit: {@value #MAX_WAITING} updates.
  */
 final class ConfigUpdateQueue {
-    private static final int MOST_WAITING = 64;
+    private static final int MAX_WAITING = 64;
 
-    /** Answers an order: acknowledged, refused, or not known what becomes of it. */
+    /** The outcome of an update: acknowledged, rejected for one of three reasons, or not known. */
     enum Outcome { ACCEPTED, CONFLICT, INVALID, TOO_LARGE, UNKNOWN }
 
-    /** An order's outcome and, for a refusal, the reason in one line. */
+    /** The result of an update. @param message why it was rejected, in one line; the new generation if it was accepted */
     record Result(Outcome outcome, String message) {
-        static Result unknown(String why) {
-            return new Result(Outcome.UNKNOWN, why);
+        static Result unknown(String reason) {
+            return new Result(Outcome.UNKNOWN, reason);
         }
     }
 
-    /** The replica that leads. */
+    /** Access to the leading replica. */
     interface Leader {
-        /** Has a majority confirm that it still leads. */
+        /** Has a majority confirm that this replica still leads, and runs one of the tasks accordingly. */
         void confirmLeadership(Runnable confirmed, Runnable lost);
 
-        /** @return the index at which the change will stand once it is decided; 0 where it can't be proposed now */
+        /** @return the log index of the proposed change; 0 if it can't be proposed now */
         long propose(ConfigChange change);
 
-        /** Runs a task once the current one is over. */
+        /** Runs a task after the current one. */
         void defer(Runnable task);
     }
 
-    private record Pending(ConfigOrder order, Consumer<Result> answer) { }
+    /** An update that is waiting or in progress. */
+    private record Pending(ConfigOrder update, Consumer<Result> onResult) { }
 
     private final Leader leader;
     private final ConfigStore store;
-    private final ConfigUpdateValidator examiner;
+    private final ConfigUpdateValidator validator;
     private final Deque<Pending> waiting = new ArrayDeque<>();
     private Pending current;
-    private long currentIndex;
+    private long proposedIndex;
 
-    /** @param store the state that decided orders have led to */
-    ConfigUpdateQueue(Leader leader, ConfigStore store, ConfigUpdateValidator examiner) {
+    /** @param store the state that results from the applied updates */
+    ConfigUpdateQueue(Leader leader, ConfigStore store, ConfigUpdateValidator validator) {
         this.leader = leader;
         this.store = store;
-        this.examiner = examiner;
+        this.validator = validator;
     }
 
-    /** Prepares for the first order. */
+    /** Prepares for the first update, see {@link ConfigUpdateValidator#warmUp}. */
     void warmUp() {
-        examiner.warmUp();
+        validator.warmUp();
     }
 
     /**
-     * The whole of the current configuration as JSON.
+     * Merges the current configuration into one JSON text.
      *
-     * @param document told at once or later, as it stands at this call
-     * @param failed run instead where it can't be put together, or too many wait for it
+     * @param onMerged receives the text, at once or later, as of this call
+     * @param onFailed run instead if it can't be merged, or if too many callers are waiting
      */
-    void mergedDocument(Consumer<byte[]> document, Runnable failed) {
+    void mergedDocument(Consumer<byte[]> onMerged, Runnable onFailed) {
         ConfigDocument current = store.current().document();
-        examiner.merge(current, bytes -> {
+        validator.merge(current, bytes -> {
             store.merged(current, bytes);
-            document.accept(bytes);
-        }, failed);
+            onMerged.accept(bytes);
+        }, onFailed);
     }
 
+    /** Whether no more updates are accepted. */
     boolean isFull() {
-        return waiting.size() >= MOST_WAITING;
+        return waiting.size() >= MAX_WAITING;
     }
 
-    /** Takes an order in; it is answered later. */
-    void add(ConfigOrder order, Consumer<Result> answer) {
-        waiting.add(new Pending(order, answer));
-        next();
+    /** Adds an update; its result follows later. */
+    void add(ConfigOrder update, Consumer<Result> onResult) {
+        waiting.add(new Pending(update, onResult));
+        startNext();
     }
 
-    private void next() {
+    private void startNext() {
         if (current != null || waiting.isEmpty()) {
             return;
         }
         current = waiting.poll();
         Pending pending = current;
-        confirmed(pending, () -> decide(pending));
+        afterConfirmation(pending, () -> evaluate(pending));
     }
 
-    private void confirmed(Pending pending, Runnable next) {
-        leader.confirmLeadership(next, () -> finish(pending, Result.unknown("leadership lost")));
+    private void afterConfirmation(Pending pending, Runnable task) {
+        leader.confirmLeadership(task, () -> finish(pending, Result.unknown("leadership lost")));
     }
 
-    private void decide(Pending pending) {
+    private void evaluate(Pending pending) {
         if (pending != current) {
             return;
         }
-        Long taken = store.outcome(pending.order());
-        if (taken != null) {
-            finish(pending, answer(Either.right(taken)));
+        Long knownGeneration = store.outcome(pending.update());
+        if (knownGeneration != null) {
+            finish(pending, toResult(Either.right(knownGeneration)));
             return;
         }
-        ConfigFault conflict = store.conflict(pending.order());
+        ConfigFault conflict = store.conflict(pending.update());
         if (conflict != null) {
-            finish(pending, answer(Either.left(conflict)));
+            finish(pending, toResult(Either.left(conflict)));
             return;
         }
         long generation = store.generation();
-        examiner.validate(pending.order(), store.current(), result -> examined(pending, generation, result));
+        validator.validate(pending.update(), store.current(), result -> validated(pending, generation, result));
     }
 
-    private void examined(Pending pending, long generation, Either<ConfigFault, ConfigChange> result) {
+    private void validated(Pending pending, long generation, Either<ConfigFault, ConfigChange> result) {
         if (pending != current) {
             return;
         }
         if (store.generation() != generation) {
-            confirmed(pending, () -> decide(pending));
+            afterConfirmation(pending, () -> evaluate(pending));
         } else if (result.isLeft()) {
-            confirmed(pending, () -> refuse(pending, generation, result.getLeft()));
+            afterConfirmation(pending, () -> refuse(pending, generation, result.getLeft()));
         } else {
             propose(pending, result.get());
         }
@@ -136,50 +138,50 @@
 
     private void refuse(Pending pending, long generation, ConfigFault fault) {
         if (pending == current && store.generation() != generation) {
-            decide(pending);
+            evaluate(pending);
         } else {
-            finish(pending, answer(Either.left(fault)));
+            finish(pending, toResult(Either.left(fault)));
         }
     }
 
     private void propose(Pending pending, ConfigChange change) {
-        currentIndex = leader.propose(change);
-        if (currentIndex == 0) {
+        proposedIndex = leader.propose(change);
+        if (proposedIndex == 0) {
             finish(pending, Result.unknown("can't be proposed now"));
         }
     }
 
-    /** An order is decided, and this came of it. @param index where it stands */
+    /** Reports the result of a committed update. @param index its log index */
     void applied(long index, Either<ConfigFault, Long> result) {
-        if (current != null && index == currentIndex) {
+        if (current != null && index == proposedIndex) {
             Pending pending = current;
-            leader.defer(() -> finish(pending, answer(result)));
+            leader.defer(() -> finish(pending, toResult(result)));
         }
     }
 
-    private void finish(Pending pending, Result answer) {
+    private void finish(Pending pending, Result result) {
         if (pending != current) {
-            return; // answered when leadership was lost
+            return; // completed when leadership was lost
         }
         current = null;
-        currentIndex = 0;
-        leader.defer(this::next);
-        pending.answer().accept(answer);
+        proposedIndex = 0;
+        leader.defer(this::startNext);
+        pending.onResult().accept(result);
     }
 
-    /** Leadership is lost: what was proposed may or may not be decided yet. */
+    /** Completes all updates as unknown: what was proposed before leadership was lost may or may not be committed. */
     void leadershipLost() {
-        List<Pending> unclear = new ArrayList<>(waiting);
+        List<Pending> abandoned = new ArrayList<>(waiting);
         waiting.clear();
         if (current != null) {
-            unclear.add(0, current);
+            abandoned.add(0, current);
             current = null;
-            currentIndex = 0;
+            proposedIndex = 0;
         }
-        unclear.forEach(pending -> pending.answer().accept(Result.unknown("leadership lost")));
+        abandoned.forEach(pending -> pending.onResult().accept(Result.unknown("leadership lost")));
     }
 
-    private static Result answer(Either<ConfigFault, Long> result) {
+    private static Result toResult(Either<ConfigFault, Long> result) {
         return result.fold(
                 fault -> new Result(outcome(fault.kind()), fault.toString()),
                 generation -> new Result(Outcome.ACCEPTED, Long.toString(generation)));
--- a/src/main/java/routerfleet/control/ConfigUpdateRouter.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateRouter.java
@@ -10,19 +10,20 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * Brings operators' orders to the replica that leads, here or at another node, and its answers back. An order without a
- * clear answer in time is answered 503, after which the operator sends it again; what becomes of it is open.
+ * Forwards operators' configuration updates to the leading replica, at this or another node, and returns the results. An
+ * update without a definite result in time is answered with status 503, and the operator is to send it again; it may or
+ * may not take effect.
  */
 final class ConfigUpdateRouter {
-    private static final long ORDER_TIMEOUT_MS = 900;
-    private static final long LEADER_WAIT_MS = 40;
+    private static final long UPDATE_TIMEOUT_MS = 900;
+    private static final long LEADER_RETRY_MS = 40;
     private static final int OK = 200;
     private static final int INVALID = 400;
     private static final int CONFLICT = 412;
     private static final int TOO_LARGE = 413;
     private static final int UNAVAILABLE = 503;
-    /** In a {@link PeerMessage.OrderReply}: it is not known what becomes of the order. */
-    private static final int UNCLEAR = 0;
+    /** In a {@link PeerMessage.OrderReply}: the outcome is not known. */
+    private static final int UNKNOWN = 0;
 
     private final Scheduler scheduler;
     private final String replica;
@@ -33,7 +34,7 @@
 
     /**
      * @param replica the name of this node's replica
-     * @param firstId drawn anew in each life of the process, so that an answer to an earlier one fits no order
+     * @param firstId drawn anew at each start of the process, so that a reply to an earlier process matches no update
      */
     ConfigUpdateRouter(Scheduler scheduler, String replica, ReplicaGroup group, ControlPeers peers, long firstId) {
         this.scheduler = scheduler;
@@ -43,62 +44,62 @@
         lastId = firstId;
     }
 
-    /** Takes an operator's order. */
-    void submit(ConfigOrder.Kind kind, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    /** Handles an operator's update. */
+    void submit(ConfigOrder.Kind kind, ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
         long base;
         try {
             base = Long.parseLong(String.valueOf(request.baseVersion()).strip());
         } catch (NumberFormatException e) {
-            answer.accept(ControlHttp.Response.error(INVALID, "Rowanplank-Base-Version is no number"));
+            onResponse.accept(ControlHttp.Response.error(INVALID, "Rowanplank-Base-Version is no number"));
             return;
         }
-        ConfigOrder order = new ConfigOrder(kind, base, request.body());
+        ConfigOrder update = new ConfigOrder(kind, base, request.body());
         long id = ++lastId;
-        waiting.put(id, reply -> answer.accept(response(reply)));
-        route(id, order);
-        scheduler.schedule(() -> receiveReply(new PeerMessage.OrderReply(id, UNCLEAR, "no clear answer in time")),
-                ORDER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        waiting.put(id, reply -> onResponse.accept(response(reply)));
+        route(id, update);
+        scheduler.schedule(() -> receiveReply(new PeerMessage.OrderReply(id, UNKNOWN, "no clear answer in time")),
+                UPDATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Brings an order to the leader, as soon as there is one. */
-    private void route(long id, ConfigOrder order) {
+    /** Passes an update to the leader, and tries again later while there is none. */
+    private void route(long id, ConfigOrder update) {
         if (!waiting.containsKey(id)) {
-            return; // answered, or out of time
+            return; // completed, or timed out
         }
         if (group.isLeader()) {
-            group.submit(order, result -> receiveReply(reply(id, result)));
+            group.submit(update, result -> receiveReply(reply(id, result)));
         } else if (group.leader() == null || group.leader().equals(replica)
-                || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.OrderRequest(id, order))) {
-            scheduler.schedule(() -> route(id, order), LEADER_WAIT_MS, TimeUnit.MILLISECONDS);
+                || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.OrderRequest(id, update))) {
+            scheduler.schedule(() -> route(id, update), LEADER_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Another node has sent an order on, to this one as the leader. */
+    /** Handles an update that another node forwarded to this one as the leader. */
     void receiveForwarded(PeerLink link, PeerMessage.OrderRequest request) {
         group.submit(request.order(), result -> link.send(reply(request.id(), result)));
     }
 
-    /** The leader has answered. */
+    /** Completes an update with the leader's reply. */
     void receiveReply(PeerMessage.OrderReply reply) {
-        Consumer<PeerMessage.OrderReply> asked = waiting.remove(reply.id());
-        if (asked != null) {
-            asked.accept(reply);
+        Consumer<PeerMessage.OrderReply> callback = waiting.remove(reply.id());
+        if (callback != null) {
+            callback.accept(reply);
         }
     }
 
-    private static PeerMessage.OrderReply reply(long id, ConfigUpdateQueue.Result answer) {
-        int status = switch (answer.outcome()) {
+    private static PeerMessage.OrderReply reply(long id, ConfigUpdateQueue.Result result) {
+        int status = switch (result.outcome()) {
             case ACCEPTED -> OK;
             case CONFLICT -> CONFLICT;
             case INVALID -> INVALID;
             case TOO_LARGE -> TOO_LARGE;
-            case UNKNOWN -> UNCLEAR;
+            case UNKNOWN -> UNKNOWN;
         };
-        return new PeerMessage.OrderReply(id, status, answer.message());
+        return new PeerMessage.OrderReply(id, status, result.message());
     }
 
     private static ControlHttp.Response response(PeerMessage.OrderReply reply) {
         return reply.status() == OK ? ControlHttp.Response.ok()
-                : ControlHttp.Response.error(reply.status() == UNCLEAR ? UNAVAILABLE : reply.status(), reply.text());
+                : ControlHttp.Response.error(reply.status() == UNKNOWN ? UNAVAILABLE : reply.status(), reply.text());
     }
 }
--- a/src/main/java/routerfleet/control/ConfigUpdateValidator.java
+++ b/src/main/java/routerfleet/control/ConfigUpdateValidator.java
@@ -16,105 +16,111 @@
 import routerfleet.log.Loggers;
 
 /**
- * Examines orders, and merges documents, beside the event loop: the first JSON of a process takes seconds on a small
- * machine, and a leader that sends no heartbeats meanwhile would be replaced.
+ * Validates configuration updates and merges configuration documents outside the event loop: the first JSON processing of
+ * a process takes seconds on a small machine, and a leader that sends no heartbeats for that long would be replaced.
  */
 final class ConfigUpdateValidator {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.replica");
 
-    private static final int MOST_MERGE_WAITERS = 1_024;
+    private static final int MAX_MERGE_CALLBACKS = 1_024;
 
-    /** Who waits for a document. */
-    private record MergeCallback(Consumer<byte[]> merged, Runnable failed) {
-        void tell(byte[] bytes) {
+    /** A caller that waits for a merged document. */
+    private record MergeCallback(Consumer<byte[]> onMerged, Runnable onFailed) {
+        void complete(byte[] bytes) {
             if (bytes == null) {
-                failed.run();
+                onFailed.run();
             } else {
-                merged.accept(bytes);
+                onMerged.accept(bytes);
             }
         }
     }
 
-    /** Who waits for which document, by the document itself and not by what it says; for the loop only. */
-    private final Map<ConfigDocument, List<MergeCallback>> merges = new IdentityHashMap<>();
-    private int mergeWaiters;
+    /** The callers that wait for each document, by its identity and not its content; used on the event loop only. */
+    private final Map<ConfigDocument, List<MergeCallback>> callbacksByDocument = new IdentityHashMap<>();
+    private int callbackCount;
     private final ConfigExaminer examiner = new ConfigExaminer();
     private final Executor worker;
     private final Executor loop;
 
     /**
      * @param worker runs one task at a time
-     * @param loop where results are told
+     * @param loop runs the callbacks with the results
      */
     ConfigUpdateValidator(Executor worker, Executor loop) {
         this.worker = worker;
         this.loop = loop;
     }
 
-    /** Loads what the first order will need, so that it does not wait for it. */
+    /** Loads in advance what the first update needs, which would delay it otherwise. */
     void warmUp() {
         run(examiner::warmUp);
     }
 
     /**
-     * The whole of a document as JSON. Those that ask for the same document while it is merged share the merge. For the
-     * loop.
+     * Merges a document into one JSON text. Callers that request the same document while it is being merged share one
+     * merge. To be called on the event loop.
      *
-     * @param merged told, at once or later, on the loop
-     * @param failed run instead where the document can't be merged, or {@value #MOST_MERGE_WAITERS} wait already
+     * @param onMerged receives the text, at once or later, on the event loop
+     * @param onFailed run instead if the document can't be merged, or if {@value #MAX_MERGE_CALLBACKS} callers are
+     * waiting
      */
-    void merge(ConfigDocument document, Consumer<byte[]> merged, Runnable failed) {
+    void merge(ConfigDocument document, Consumer<byte[]> onMerged, Runnable onFailed) {
         if (document.isMerged()) {
-            merged.accept(document.base());
+            onMerged.accept(document.base());
             return;
         }
-        if (mergeWaiters == MOST_MERGE_WAITERS) {
-            failed.run();
+        if (callbackCount == MAX_MERGE_CALLBACKS) {
+            onFailed.run();
             return;
         }
-        mergeWaiters++;
-        MergeCallback waiter = new MergeCallback(merged, failed);
-        List<MergeCallback> sharing = merges.get(document);
-        if (sharing == null) {
-            merges.put(document, new ArrayList<>(List.of(waiter)));
-            run(() -> mergeBesideLoop(document));
+        callbackCount++;
+        MergeCallback callback = new MergeCallback(onMerged, onFailed);
+        List<MergeCallback> callbacks = callbacksByDocument.get(document);
+        if (callbacks == null) {
+            callbacksByDocument.put(document, new ArrayList<>(List.of(callback)));
+            run(() -> mergeOnWorker(document));
         } else {
-            sharing.add(waiter);
+            callbacks.add(callback);
         }
     }
 
-    private void mergeBesideLoop(ConfigDocument document) {
-        byte[] bytes = bytesOf(document);
+    private void mergeOnWorker(ConfigDocument document) {
+        byte[] bytes = mergedBytes(document);
         loop.execute(() -> {
-            List<MergeCallback> sharing = merges.remove(document);
-            mergeWaiters -= sharing.size();
-            sharing.forEach(waiter -> waiter.tell(bytes));
+            List<MergeCallback> callbacks = callbacksByDocument.remove(document);
+            callbackCount -= callbacks.size();
+            callbacks.forEach(callback -> callback.complete(bytes));
         });
     }
 
-    /** @return null where the document can't be merged */
-    private static byte[] bytesOf(ConfigDocument document) {
+    /** @return null if the document can't be merged */
+    private static byte[] mergedBytes(ConfigDocument document) {
         try {
             return document.bytes();
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "a configuration can't be put together", e);
+            LOG.log(System.Logger.Level.ERROR, "a configuration document can't be merged", e);
             return null;
         }
     }
 
-    /** @param result told on the loop */
-    void validate(ConfigOrder order, ConfigExaminer.Current current, Consumer<Either<ConfigFault, ConfigChange>> result) {
+    /**
+     * Validates an update against the current configuration.
+     *
+     * @param onResult receives the result on the event loop
+     */
+    void validate(ConfigOrder update, ConfigExaminer.Current current,
+            Consumer<Either<ConfigFault, ConfigChange>> onResult) {
         run(() -> {
-            Either<ConfigFault, ConfigChange> examined = examined(order, current);
-            loop.execute(() -> result.accept(examined));
+            Either<ConfigFault, ConfigChange> validated = validateSafely(update, current);
+            loop.execute(() -> onResult.accept(validated));
         });
     }
 
-    private Either<ConfigFault, ConfigChange> examined(ConfigOrder order, ConfigExaminer.Current current) {
+    private Either<ConfigFault, ConfigChange> validateSafely(ConfigOrder update, ConfigExaminer.Current current) {
         try {
-            return examiner.examine(order, current);
+            return examiner.examine(update, current);
         } catch (RuntimeException e) {
-            LOG.log(System.Logger.Level.ERROR, "an order can't be examined", e);
+            LOG.log(System.Logger.Level.ERROR, "a configuration update can't be validated", e);
             return Either.left(new ConfigFault(ConfigFault.Kind.INVALID, "", "can't be examined: " + e));
         }
     }
@@ -123,7 +129,7 @@
         try {
             worker.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.log(System.Logger.Level.DEBUG, "the process ends", e);
+            LOG.log(System.Logger.Level.DEBUG, "task rejected, since the process ends", e);
         }
     }
 }
--- a/src/main/java/routerfleet/control/ControlHttp.java
+++ b/src/main/java/routerfleet/control/ControlHttp.java
@@ -29,58 +29,60 @@
 import routerfleet.wire.Listeners;
 
 /**
- * The HTTP side of a control node: requests of model servers and of the operator. On a connection each request is handled
- * only once the one before it is answered, so that answers have the order of their requests, however many came at once.
+ * The HTTP server of a control node, for model servers and operators. Requests of one connection are handled one after
+ * the other, so that responses keep the order of the requests, however many arrive at once.
  */
 final class ControlHttp {
     private static final int IDLE_S = 60;
-    /** Requests on one connection that may wait for the one before them; what sends more is cut off. */
-    private static final int MOST_WAITING = 64;
-    /** For how long the rest of a body is read that was answered before it was there. */
+    /** Requests that may wait on one connection; a client that sends more is disconnected. */
+    private static final int MAX_WAITING = 64;
+    /** How long the rest of a body is still read after a response that was sent before the body had arrived. */
     private static final long LINGER_MS = 2_000;
 
     /**
-     * A request.
+     * An HTTP request.
      *
-     * @param baseVersion the header that an order names its base in; null where there is none
-     * @param callerConnected whether the caller has not given up, as far as the connection tells
+     * @param baseVersion the header with the generation that a configuration update builds on; null where it is absent
+     * @param callerConnected whether the caller is still connected, as far as can be seen from the connection
      */
     record Request(String method, String path, String baseVersion, byte[] body, BooleanSupplier callerConnected) {
-        /** A request whose caller waits however long it takes. */
+        /** Creates a request whose caller counts as connected forever. */
         Request(String method, String path, String baseVersion, byte[] body) {
             this(method, path, baseVersion, body, () -> true);
         }
     }
 
-    /** When who is answered 503 may ask again, in seconds: a new leader is elected in about so long. */
+    /** Value of Retry-After for status 503, in seconds: about the time that the election of a new leader takes. */
     private static final String RETRY_AFTER_S = "0.4";
 
-    /** A status and a JSON body. */
+    /** A response: status and JSON body. */
     record Response(int status, byte[] body) {
-        /** A refusal with the promise that nothing was done. */
+        /** Returns a response with status 503, which promises that the request had no effect. */
         static Response refusal(String problem) {
             return error(HttpResponseStatus.SERVICE_UNAVAILABLE.code(), problem);
         }
 
+        /** Returns a response with status 200 and an empty JSON object. */
         static Response ok() {
             return new Response(HttpResponseStatus.OK.code(), "{}".getBytes(StandardCharsets.UTF_8));
         }
 
+        /** Returns a response with a JSON object that describes the problem. */
         static Response error(int status, String problem) {
             String text = problem.replace("\\", "\\\\").replace("\"", "\\\"").replaceAll("\\p{Cntrl}", " ");
             return new Response(status, ("{\"error\":\"" + text + "\"}").getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    /** Who answers requests, at once or later, on the event loop. */
+    /** Handles requests and responds immediately or later, on the event loop. */
     interface Handler {
-        /** @param answer to be called once; null ends the connection without an answer */
-        void handle(Request request, Consumer<Response> answer);
+        /** @param onResponse to be called once; null closes the connection without a response */
+        void handle(Request request, Consumer<Response> onResponse);
     }
 
     private ControlHttp() { }
 
-    /** Listens; connections are taken once {@link Listeners#accept} is called. */
+    /** Binds the address; connections are accepted once {@link Listeners#accept} is called. */
     static Channel bind(EventLoopGroup group, HostPort address, Handler handler) throws BindException {
         return Listeners.listenClosed(group, address, new ChannelInitializer<Channel>() {
             @Override
@@ -91,15 +93,15 @@
         });
     }
 
-    /** Puts all that handles requests into a new connection's pipeline. */
+    /** Adds the handlers for requests to a new connection's pipeline. */
     static void install(ChannelPipeline pipeline, Handler handler) {
-        pipeline.addLast(new HttpServerCodec(), new Aggregator(), new Exchanges(handler));
+        pipeline.addLast(new HttpServerCodec(), new Aggregator(), new SequentialHandler(handler));
     }
 
-    /** A request whose body is larger than any that is taken. */
+    /** Takes the place of a request whose body is too large. */
     private record TooLarge(String size) { }
 
-    /** Gathers whole requests; what is too large is told of in its place among them. */
+    /** Aggregates requests; one that is too large is passed on as {@link TooLarge}, in its place in the sequence. */
     private static final class Aggregator extends HttpObjectAggregator {
         Aggregator() {
             super(ConfigOrder.MOST_BODY_BYTES);
@@ -124,96 +126,100 @@
         return message;
     }
 
-    /** The requests of one connection, one at a time. */
-    private static final class Exchanges extends SimpleChannelInboundHandler<Object> {
-        /** @param ready the answer where the request is not to be handled; else null */
-        private record Waiting(Request request, Response ready, boolean keepAlive) { }
+    /** Handles the requests of one connection one after the other. */
+    private static final class SequentialHandler extends SimpleChannelInboundHandler<Object> {
+        /** @param ready the response where the handler must not see the request; else null */
+        private record QueuedRequest(Request request, Response ready, boolean keepAlive) { }
 
         private final Handler handler;
-        private final Deque<Waiting> waiting = new ArrayDeque<>();
-        /** The request that is being answered; null for none. */
-        private Waiting current;
-        /** Nothing more is answered on this connection. */
-        private boolean ended;
+        private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+        /** The request that is being handled; null for none. */
+        private QueuedRequest current;
+        /** Whether the connection is about to be closed: nothing more is handled. */
+        private boolean closing;
 
-        Exchanges(Handler handler) {
+        SequentialHandler(Handler handler) {
             this.handler = handler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Object message) {
-            if (ended) {
+            if (closing) {
                 return;
             }
-            if (waiting.size() >= MOST_WAITING) {
-                ended = true;
+            if (queue.size() >= MAX_WAITING) {
+                closing = true;
                 context.close();
                 return;
             }
-            waiting.add(read(context, message));
+            queue.add(read(context, message));
             context.channel().config().setAutoRead(false);
             handleNext(context);
         }
 
-        private Waiting read(ChannelHandlerContext context, Object message) {
+        private QueuedRequest read(ChannelHandlerContext context, Object message) {
             if (message instanceof TooLarge large) {
-                return new Waiting(null, Response.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE.code(),
+                return new QueuedRequest(null, Response.error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE.code(),
                         large.size() + " in a body, and at most " + ConfigOrder.MOST_BODY_BYTES + " are taken"), false);
             }
             FullHttpRequest request = (FullHttpRequest) message;
             if (request.decoderResult().isFailure()) {
-                return new Waiting(null, Response.error(HttpResponseStatus.BAD_REQUEST.code(), "no HTTP request"), false);
+                return new QueuedRequest(null, Response.error(HttpResponseStatus.BAD_REQUEST.code(), "no HTTP request"),
+                        false);
             }
             byte[] body = new byte[request.content().readableBytes()];
             request.content().readBytes(body);
-            return new Waiting(new Request(request.method().name(), request.uri(),
+            return new QueuedRequest(new Request(request.method().name(), request.uri(),
                     request.headers().get("Rowanplank-Base-Version"), body, () -> isOpen(context)), null,
                     HttpUtil.isKeepAlive(request));
         }
 
-        /** Nothing is read by itself while a request is handled, not even the connection's end: it is looked for here. */
+        /** Auto-read is off while a request is handled, so that not even the connection's end is noticed: this reads. */
         private boolean isOpen(ChannelHandlerContext context) {
             context.read();
-            return !ended && context.channel().isActive();
+            return !closing && context.channel().isActive();
         }
 
         private void handleNext(ChannelHandlerContext context) {
-            if (current != null || ended) {
+            if (current != null || closing) {
                 return;
             }
-            Waiting next = waiting.poll();
+            QueuedRequest next = queue.poll();
             if (next == null) {
                 context.channel().config().setAutoRead(true);
                 return;
             }
             current = next;
             if (next.ready() != null) {
-                answered(context, next, next.ready());
+                respond(context, next, next.ready());
             } else {
-                handler.handle(next.request(), response -> answered(context, next, response));
+                handler.handle(next.request(), response -> respond(context, next, response));
             }
         }
 
-        private void answered(ChannelHandlerContext context, Waiting answered, Response response) {
-            if (ended || current != answered) {
-                return; // it has its answer, or nobody waits for it any more
+        private void respond(ChannelHandlerContext context, QueuedRequest completed, Response response) {
+            if (closing || current != completed) {
+                return; // already responded to, or the connection has ended
             }
             current = null;
             if (response == null) {
-                ended = true;
+                closing = true;
                 context.close();
                 return;
             }
-            ended = !answered.keepAlive();
-            context.writeAndFlush(message(response, answered.keepAlive())).addListener(written -> {
-                if (!answered.keepAlive()) {
-                    end(context, answered.ready() != null); // not sooner: what is not written yet would be lost
+            closing = !completed.keepAlive();
+            context.writeAndFlush(message(response, completed.keepAlive())).addListener(written -> {
+                if (!completed.keepAlive()) {
+                    end(context, completed.ready() != null); // not earlier, which would lose what is not written yet
                 }
             });
             handleNext(context);
         }
 
-        /** @param unread whether bytes of the request may still come: closed over them, a connection resets its answer */
+        /**
+         * @param unread whether bytes of the request may still arrive: closing before they are read would discard the
+         * response
+         */
         private static void end(ChannelHandlerContext context, boolean unread) {
             if (unread) {
                 context.channel().config().setAutoRead(true);
@@ -225,8 +231,8 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            ended = true;
-            waiting.clear();
+            closing = true;
+            queue.clear();
         }
 
         @Override
--- a/src/main/java/routerfleet/control/ControlService.java
+++ b/src/main/java/routerfleet/control/ControlService.java
@@ -26,29 +26,29 @@
 import routerfleet.wire.SessionRecord;
 
 /**
- * All that a control node does, apart from the machine that it runs on: its replica of the configuration shard, its copy of
- * the session tables, its parts of tenants' limits, and the connections to other control nodes and to data nodes. Clock,
- * thread, network and disk are given, real ones ({@link ControlNode}) or simulated ones.
+ * The services of a control node, independent of the machine it runs on: its replica of the configuration shard, its
+ * session table, its shares of tenants' limits, its tallies, and the connections to control nodes and data nodes. Clock,
+ * thread, network and disk are passed in, real ones ({@link ControlNode}) or simulated ones.
  *
- * <p>For one thread, that of the scheduler, but for {@link #load}.
+ * <p>To be used on the scheduler's thread only, except for {@link #load}.
  */
 final class ControlService {
     private static final System.Logger LOG = Loggers.get("routerfleet.control");
-    private static final long FRESHNESS_MS = 80;
-    private static final long SECOND_MS = 1_000;
-    private static final long RECONCILE_MS = 250;
-    private static final long LEAVE_CHECK_MS = 50;
-    /** Data nodes, servers and operators are let in once a leader is known, or after so long. */
-    private static final long SETTLED_MS = 500;
-    /** What only orders need is loaded once the node's start, and a recovery beside it, are over. */
-    private static final long WARM_UP_AFTER_MS = 8_000;
-    private static final double WARM_BEATS = 2.5;
+    private static final long FRESHNESS_INTERVAL_MS = 80;
+    private static final long SESSION_INTERVAL_MS = 1_000;
+    private static final long RECONCILE_INTERVAL_MS = 250;
+    private static final long LEAVE_POLL_MS = 50;
+    /** Data nodes, servers and operators are admitted once a leader is known, or after this time at the latest. */
+    private static final long MAX_LEADER_WAIT_MS = 500;
+    /** What only configuration updates need is loaded this late, when the start, and a recovery beside it, are over. */
+    private static final long VALIDATOR_WARMUP_DELAY_MS = 8_000;
+    private static final double WARMUP_HEARTBEATS = 2.5;
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final String CONFIG = "/rowanplank/config/";
-    private static final String INSTANCES = "/rowanplank/instances/";
-    private static final String EVACUATIONS = "/rowanplank/evacuations/";
-    private static final String TALLIES = "/rowanplank/tallies/";
+    private static final String CONFIG_PATH = "/rowanplank/config/";
+    private static final String INSTANCES_PATH = "/rowanplank/instances/";
+    private static final String EVACUATIONS_PATH = "/rowanplank/evacuations/";
+    private static final String TALLIES_PATH = "/rowanplank/tallies/";
 
     private final LocalSettings settings;
     private final Scheduler scheduler;
@@ -60,7 +60,7 @@
     private final ControlPeers peers;
     private final DataNodeConnections dataNodes = new DataNodeConnections();
     private final QuotaGrantor quotas;
-    private final SessionTable table;
+    private final SessionTable sessionTable;
     private final TallyService tallies;
     private PersistentState saved;
     private String replica;
@@ -68,16 +68,16 @@
     private ReplicaPlanner planner;
     private FreshnessTracker freshness;
     private SessionService sessions;
-    private DataNodeService dataPlane;
-    private ConfigUpdateRouter orders;
+    private DataNodeService dataNodeService;
+    private ConfigUpdateRouter configUpdates;
     private EvacuationService evacuations;
-    private SessionStorage hints;
+    private SessionStorage sessionStorage;
     private List<SessionRecord> earlierSessions = List.of();
-    private long warmUntilNanos;
-    private Runnable whenSettled;
+    private long sessionWarmupEndNanos;
+    private Runnable startupTask;
     private List<HostPort> seeds;
 
-    /** @param settings with a folder on disk */
+    /** @param settings must name a directory on disk */
     ControlService(LocalSettings settings, Scheduler scheduler, PeerNetwork network, PeerCodec codec,
             ReplicaStorage storage, RandomGenerator random, ControlServiceFactory parts) {
         this.parts = parts;
@@ -90,20 +90,20 @@
         seeds = settings.seeds();
         peers = new ControlPeers(settings.ip(), settings.peerPort());
         quotas = new QuotaGrantor(settings.ip(), settings.bounds());
-        table = new SessionTable(settings.heartbeatMs());
+        sessionTable = new SessionTable(settings.heartbeatMs());
         tallies = new TallyService(settings, scheduler, peers, storage.tallyStorage(), parts.tallyBounds(),
                 parts.tallyReach(settings, peers));
     }
 
     /**
-     * Reads the disk. Before the service begins, on any thread.
+     * Reads the persistent state. To be called before {@link #start}, on any thread.
      *
-     * @param numbers draws the number that names the replica on an empty disk; none may come twice
-     * @throws IOException if the disk can't be read, or refuses
+     * @param numbers draws the number that names a new replica on an empty disk; no number may come twice
+     * @throws IOException if the disk can't be read, or rejects a write
      */
     void load(LongSupplier numbers) throws IOException {
-        hints = storage.sessionHints(codec);
-        earlierSessions = hints.read();
+        sessionStorage = storage.sessionHints(codec);
+        earlierSessions = sessionStorage.read();
         loadReplica(numbers);
         tallies.load(ReplicaNames.incarnation(replica));
     }
@@ -128,74 +128,75 @@
         }
     }
 
-    /** Begins, with what was loaded. */
+    /** Starts the service with the loaded state. */
     void start() {
         replicas = new ReplicaGroup(scheduler, codec, replica, saved, storage, random.nextLong(),
-                new GroupSurroundings(), parts);
+                new GroupEnvironment(), parts);
         saved = null;
         planner = parts.planner(replica);
         freshness = parts.freshness(scheduler, replicas, peers, random.nextLong() >>> 2);
-        orders = new ConfigUpdateRouter(scheduler, replica, replicas, peers, random.nextLong() >>> 2);
+        configUpdates = new ConfigUpdateRouter(scheduler, replica, replicas, peers, random.nextLong() >>> 2);
         evacuations = new EvacuationService(scheduler, settings.zones(), replicas, freshness, peers,
                 random.nextLong() >>> 2);
-        divideQuotas();
-        warmUntilNanos = scheduler.nanoTime()
-                + TimeUnit.MILLISECONDS.toNanos((long) (settings.heartbeatMs() * WARM_BEATS));
-        dataPlane = new DataNodeService(scheduler, random.nextLong() | 1, table, dataNodes, peers, replicas, freshness,
-                warmUntilNanos);
-        takeEarlierSessions();
-        sessions = new SessionService(scheduler, table, peers, this::promiseIsHeld,
-                () -> dataNodes.countActive(scheduler.nanoTime()) > 0, dataPlane::scheduleFlush, hints::save);
+        configureQuotas();
+        sessionWarmupEndNanos = scheduler.nanoTime()
+                + TimeUnit.MILLISECONDS.toNanos((long) (settings.heartbeatMs() * WARMUP_HEARTBEATS));
+        dataNodeService = new DataNodeService(scheduler, random.nextLong() | 1, sessionTable, dataNodes, peers, replicas,
+                freshness, sessionWarmupEndNanos);
+        restoreEarlierSessions();
+        sessions = new SessionService(scheduler, sessionTable, peers, this::isHeldByEnoughNodes,
+                () -> dataNodes.countActive(scheduler.nanoTime()) > 0, dataNodeService::scheduleFlush,
+                sessionStorage::save);
         peers.start(new PeerDialer(scheduler, network, LinkTiming.CONTROL,
                 address -> new OutgoingListener(address.host())));
         tallies.start();
         learnSeeds();
-        scheduler.every(FRESHNESS_MS, freshness::tick);
-        scheduler.every(RECONCILE_MS, this::reconcile);
-        scheduler.every(SECOND_MS, sessions::tick);
-        scheduler.every(SECOND_MS, this::keepSessions);
-        scheduler.schedule(this::warmUp, WARM_UP_AFTER_MS, TimeUnit.MILLISECONDS);
+        scheduler.every(FRESHNESS_INTERVAL_MS, freshness::tick);
+        scheduler.every(RECONCILE_INTERVAL_MS, this::reconcile);
+        scheduler.every(SESSION_INTERVAL_MS, sessions::tick);
+        scheduler.every(SESSION_INTERVAL_MS, this::saveSessions);
+        scheduler.schedule(this::warmUp, VALIDATOR_WARMUP_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Who may come to lead is to answer its first order as fast as later ones. */
+    /** Prepares a voter, so that as a new leader it handles its first update as fast as later ones. */
     private void warmUp() {
         if (replicas.isVoter()) {
             replicas.orders().warmUp();
         }
     }
 
-    private boolean promiseIsHeld(Set<String> holders) {
+    private boolean isHeldByEnoughNodes(Set<String> holders) {
         return holders.size() > parts.requiredRemoteCopies()
                 && peers.spanZones(holders, settings.zone(), settings.toleratedZones() + 1);
     }
 
-    private void keepSessions() {
-        if (scheduler.nanoTime() - warmUntilNanos >= 0) {
+    private void saveSessions() {
+        if (scheduler.nanoTime() - sessionWarmupEndNanos >= 0) {
             earlierSessions = List.of();
-            hints.saveIfChanged();
+            sessionStorage.saveIfChanged();
         }
     }
 
-    /** Until the table has filled, servers that were ready before the start stay on disk. */
-    private List<SessionRecord> sessionsToKeep() {
-        List<SessionRecord> kept = table.recordsToSave();
-        earlierSessions.stream().filter(s -> table.find(s.uid()) == null).forEach(kept::add);
+    /** Until the table has filled, sessions that were ready before the start are saved again. */
+    private List<SessionRecord> sessionsToSave() {
+        List<SessionRecord> kept = sessionTable.recordsToSave();
+        earlierSessions.stream().filter(s -> sessionTable.find(s.uid()) == null).forEach(kept::add);
         return kept;
     }
 
-    /** What has ended stays so; what was ready is a hint for data nodes. */
-    private void takeEarlierSessions() {
+    /** Draining and ended sessions are merged, as these phases are final; ready ones are only hints for data nodes. */
+    private void restoreEarlierSessions() {
         List<SessionRecord> ready = new ArrayList<>();
         for (SessionRecord session : earlierSessions) {
             if (session.phase() == SessionRecord.Phase.READY) {
                 ready.add(session);
             } else {
-                table.merge(session, scheduler.nanoTime());
+                sessionTable.merge(session, scheduler.nanoTime());
             }
         }
-        dataPlane.setEarlierSessions(codec.encode(new PeerMessage.Sessions(0, ready)));
+        dataNodeService.setEarlierSessions(codec.encode(new PeerMessage.Sessions(0, ready)));
         earlierSessions = ready;
-        hints.setSource(this::sessionsToKeep);
+        sessionStorage.setSource(this::sessionsToSave);
     }
 
     /** Listens for other control nodes. @throws IOException if the address is taken */
@@ -209,31 +210,32 @@
     }
 
     /**
-     * Runs a task once there is a leader, or after {@value #SETTLED_MS} ms without: what comes from data nodes and servers
-     * would only keep a node that has just started from electing one. Once, after the service has begun.
+     * Runs a task once a leader is known, or after {@value #MAX_LEADER_WAIT_MS} ms without one: admitting data nodes and
+     * servers earlier would only delay an election at a node that has just started. To be called once, after
+     * {@link #start}.
      */
     void runOnceLeaderKnown(Runnable task) {
-        whenSettled = task;
-        scheduler.schedule(this::settled, SETTLED_MS, TimeUnit.MILLISECONDS);
+        startupTask = task;
+        scheduler.schedule(this::runStartupTask, MAX_LEADER_WAIT_MS, TimeUnit.MILLISECONDS);
         if (replicas.leader() != null) {
-            settled();
+            runStartupTask();
         }
     }
 
-    private void settled() {
-        Runnable task = whenSettled;
-        whenSettled = null;
+    private void runStartupTask() {
+        Runnable task = startupTask;
+        startupTask = null;
         if (task != null) {
             task.run();
         }
     }
 
-    /** The name of this node's replica; known once loaded. */
+    /** Returns the name of this node's replica; null before {@link #load}. */
     String replica() {
         return replica;
     }
 
-    /** The replica group as this node knows it. */
+    /** Returns this node's member of the replica group. */
     ReplicaGroup group() {
         return replicas;
     }
@@ -243,22 +245,22 @@
         replicas.voters().forEach(voter -> peers.add(ReplicaNames.ip(voter), scheduler.nanoTime()));
     }
 
-    /** Takes new seeds. */
+    /** Replaces the seed addresses. */
     void updateSeeds(List<HostPort> changed) {
         seeds = changed;
         learnSeeds();
     }
 
     /**
-     * Prepares to stop: hands leadership on, and lets a control node that has no vote yet take this one's place, so that
-     * the group is whole again before this node is gone.
+     * Prepares to stop: transfers leadership, and waits until a control node without a vote has taken this node's seat,
+     * so that the group is complete again before this node stops.
      *
-     * @param done run once it may stop
-     * @param mostMs how long that may take
+     * @param done run once the node may stop
+     * @param maxMs how long to wait at most, in milliseconds
      */
-    void prepareToStop(Runnable done, long mostMs) {
+    void prepareToStop(Runnable done, long maxMs) {
         replicas.transferLeadership();
-        leaveUntil(scheduler.nanoTime() + TimeUnit.MILLISECONDS.toNanos(mostMs), done);
+        leaveUntil(scheduler.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMs), done);
     }
 
     private void leaveUntil(long endNanos, Runnable done) {
@@ -271,15 +273,15 @@
             replicas.transferLeadership();
         }
         peers.sendToAll(new PeerMessage.Leaving(replica));
-        scheduler.schedule(() -> leaveUntil(endNanos, done), LEAVE_CHECK_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> leaveUntil(endNanos, done), LEAVE_POLL_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- wanted replicas and connections
+    // ---- replica group and connections
 
     private void reconcile() {
         long now = scheduler.nanoTime();
         learnSeeds();
-        divideQuotas();
+        configureQuotas();
         Set<String> kept = new TreeSet<>();
         seeds.forEach(seed -> kept.add(seed.host()));
         replicas.voters().forEach(voter -> kept.add(ReplicaNames.ip(voter)));
@@ -300,11 +302,11 @@
         }
     }
 
-    private void divideQuotas() {
+    private void configureQuotas() {
         quotas.configure(replicas.tenants(), replicas.replicaAddresses(), scheduler.millis());
     }
 
-    private PeerMessage.QuotaAnswer grant(PeerMessage.QuotaAsk ask) {
+    private PeerMessage.QuotaAnswer quotaAnswer(PeerMessage.QuotaAsk ask) {
         long ageMicros = freshness.ageMicros(scheduler.nanoTime());
         long ageMs = ageMicros < 0 ? -1 : TimeUnit.MICROSECONDS.toMillis(ageMicros);
         return quotas.answer(ask, ageMs, scheduler.millis());
@@ -312,43 +314,43 @@
 
     // ---- the HTTP interface
 
-    /** Answers a request of the operator or of a model server. */
-    void handle(ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    /** Handles a request of an operator or a model server. */
+    void handle(ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
         String path = request.path();
-        if (request.method().equals("GET") && path.equals(CONFIG + "get")) {
-            freshness.whenFresh(() -> readBack(answer),
-                    () -> answer.accept(ControlHttp.Response.error(UNAVAILABLE, "no majority of replicas answers")));
-        } else if (request.method().equals("POST") && path.equals(CONFIG + "replace")) {
-            orders.submit(ConfigOrder.Kind.REPLACE, request, answer);
-        } else if (request.method().equals("POST") && path.equals(CONFIG + "patch")) {
-            orders.submit(ConfigOrder.Kind.PATCH, request, answer);
-        } else if (path.startsWith(EVACUATIONS)) {
-            evacuations.handle(path.substring(EVACUATIONS.length()), request, answer);
-        } else if (request.method().equals("POST") && path.startsWith(INSTANCES)) {
-            instance(path.substring(INSTANCES.length()).split("/"), request, answer);
-        } else if (path.startsWith(TALLIES)) {
-            tallies.handle(path.substring(TALLIES.length()).split("/"), request, answer);
+        if (request.method().equals("GET") && path.equals(CONFIG_PATH + "get")) {
+            freshness.whenFresh(() -> respondWithDocument(onResponse),
+                    () -> onResponse.accept(ControlHttp.Response.error(UNAVAILABLE, "no majority of replicas answers")));
+        } else if (request.method().equals("POST") && path.equals(CONFIG_PATH + "replace")) {
+            configUpdates.submit(ConfigOrder.Kind.REPLACE, request, onResponse);
+        } else if (request.method().equals("POST") && path.equals(CONFIG_PATH + "patch")) {
+            configUpdates.submit(ConfigOrder.Kind.PATCH, request, onResponse);
+        } else if (path.startsWith(EVACUATIONS_PATH)) {
+            evacuations.handle(path.substring(EVACUATIONS_PATH.length()), request, onResponse);
+        } else if (request.method().equals("POST") && path.startsWith(INSTANCES_PATH)) {
+            handleInstance(path.substring(INSTANCES_PATH.length()).split("/"), request, onResponse);
+        } else if (path.startsWith(TALLIES_PATH)) {
+            tallies.handle(path.substring(TALLIES_PATH.length()).split("/"), request, onResponse);
         } else {
-            answer.accept(ControlHttp.Response.error(404, "no such resource: " + path));
+            onResponse.accept(ControlHttp.Response.error(404, "no such resource: " + path));
         }
     }
 
-    private void readBack(Consumer<ControlHttp.Response> answer) {
+    private void respondWithDocument(Consumer<ControlHttp.Response> callback) {
         if (replicas.answersReads()) {
-            replicas.orders().mergedDocument(document -> answer.accept(new ControlHttp.Response(OK, document)),
-                    () -> answer.accept(ControlHttp.Response.error(UNAVAILABLE, "the configuration can't be told now")));
+            replicas.orders().mergedDocument(document -> callback.accept(new ControlHttp.Response(OK, document)),
+                    () -> callback.accept(ControlHttp.Response.error(UNAVAILABLE, "the configuration can't be told now")));
         } else {
-            answer.accept(ControlHttp.Response.error(UNAVAILABLE, "no member of the replica group"));
+            callback.accept(ControlHttp.Response.error(UNAVAILABLE, "no member of the replica group"));
         }
     }
 
-    private void instance(String[] parts, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    private void handleInstance(String[] parts, ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
         if (parts.length == 2 && parts[1].equals("heartbeat")) {
-            sessions.heartbeat(parts[0], request.body(), answer);
+            sessions.heartbeat(parts[0], request.body(), onResponse);
         } else if (parts.length == 2 && parts[1].equals("deregister")) {
-            sessions.deregister(parts[0], answer);
+            sessions.deregister(parts[0], onResponse);
         } else {
-            answer.accept(ControlHttp.Response.error(404, "no such resource: " + request.path()));
+            onResponse.accept(ControlHttp.Response.error(404, "no such resource: " + request.path()));
         }
     }
 
@@ -360,11 +362,11 @@
                 replicas.onMessage(replication.from(), replication.message());
             }
         } else if (message instanceof PeerMessage.Poll poll) {
-            dataPlane.receivedPoll(link, poll);
+            dataNodeService.receivedPoll(link, poll);
         } else if (message instanceof PeerMessage.QuotaAsk ask) {
-            link.send(grant(ask));
-        } else if (message instanceof PeerMessage.Sessions told) {
-            sessions.received(link, told);
+            link.send(quotaAnswer(ask));
+        } else if (message instanceof PeerMessage.Sessions records) {
+            sessions.received(link, records);
         } else if (message instanceof PeerMessage.SessionsDigest digest) {
             reconcileSessions(link, digest);
         } else if (message instanceof PeerMessage.ReadIndexRequest request) {
@@ -372,17 +374,17 @@
         } else if (message instanceof PeerMessage.ReadIndexReply reply) {
             freshness.onReadIndexReply(reply);
         } else if (message instanceof PeerMessage.OrderRequest request) {
-            orders.receiveForwarded(link, request);
+            configUpdates.receiveForwarded(link, request);
         } else if (message instanceof PeerMessage.OrderReply reply) {
-            orders.receiveReply(reply);
+            configUpdates.receiveReply(reply);
         } else if (message instanceof PeerMessage.EvacuationRequest request) {
             evacuations.receiveForwarded(link, request);
         } else if (message instanceof PeerMessage.EvacuationReply reply) {
             evacuations.receiveReply(reply);
         } else if (message instanceof PeerMessage.ConfigRequest request) {
-            dataPlane.sendConfiguration(link, request.knownGeneration());
+            dataNodeService.sendConfiguration(link, request.knownGeneration());
         } else if (message instanceof PeerMessage.DataHello hello) {
-            dataPlane.receivedHello(link, hello);
+            dataNodeService.receivedHello(link, hello);
         } else if (message instanceof PeerMessage.Leaving) {
             peers.markLeaving(link);
         } else if (message instanceof PeerMessage.ControlHello hello) {
@@ -391,11 +393,11 @@
             replicas.setReachable(peers.connectedBothWays());
             tallies.connectionsChanged();
         } else {
-            receivedOfTallies(link, message);
+            receivedTallyMessage(link, message);
         }
     }
 
-    private void receivedOfTallies(PeerLink link, PeerMessage message) {
+    private void receivedTallyMessage(PeerLink link, PeerMessage message) {
         if (message instanceof PeerMessage.TallyVector vector) {
             tallies.received(link, vector);
         } else if (message instanceof PeerMessage.TallyEntries entries) {
@@ -414,7 +416,7 @@
         }
     }
 
-    private final class GroupSurroundings implements ReplicaGroup.Environment {
+    private final class GroupEnvironment implements ReplicaGroup.Environment {
         @Override
         public void send(String to, Message message) {
             peers.send(ReplicaNames.ip(to), new PeerMessage.Replication(replica, to, message));
@@ -422,26 +424,26 @@
 
         @Override
         public void configurationChanged(long generation) {
-            divideQuotas();
-            dataPlane.scheduleFlush();
+            configureQuotas();
+            dataNodeService.scheduleFlush();
         }
 
         @Override
         public void evacuationsChanged(Evacuations changed) {
             evacuations.logChanges(changed);
-            dataPlane.scheduleFlush();
+            dataNodeService.scheduleFlush();
         }
 
         @Override
         public void leaderKnown() {
             scheduler.execute(() -> {
-                settled();
+                runStartupTask();
                 freshness.refresh();
             });
         }
     }
 
-    /** A connection that this node has opened to another control node. */
+    /** A connection that this node opened to another control node. */
     private final class OutgoingListener implements PeerLink.Listener {
         private final String ip;
 
@@ -454,7 +456,7 @@
             link.send(new PeerMessage.ControlHello(settings.nodeName(), settings.ip(), settings.zone(), replica,
                     peers.knownAddresses()));
             peers.outgoingOpened(ip, link);
-            link.send(new PeerMessage.Sessions(0, table.records()));
+            link.send(new PeerMessage.Sessions(0, sessionTable.records()));
             replicas.onReconnected(ip);
             replicas.setReachable(peers.connectedBothWays());
             tallies.connected(link);
@@ -476,11 +478,11 @@
         }
     }
 
-    /** A connection that another control node or a data node has opened. */
+    /** A connection that another control node or a data node opened. */
     private final class IncomingListener implements PeerLink.Listener {
         @Override
         public void opened(PeerLink link) {
-            // it introduces itself first
+            // the other side introduces itself first
         }
 
         @Override
--- a/src/main/java/routerfleet/control/DataNodeConnections.java
+++ b/src/main/java/routerfleet/control/DataNodeConnections.java
@@ -7,20 +7,20 @@
 import routerfleet.wire.PeerLink;
 import routerfleet.wire.PeerMessage;
 
-/** The data nodes that hold a session with this control node. */
+/** The connections of data nodes to this control node. */
 final class DataNodeConnections {
-    private static final long PRESENT_MS = 2_500;
+    private static final long ACTIVE_MS = 2_500;
 
-    /** One connection of a data node. */
+    /** A connection of a data node, with what was sent on it last. */
     static final class Connection {
         final PeerLink link;
         final String ip;
-        /** Whether it has said if it is the primary connection. */
+        /** Whether it has polled, and so declared whether it is the primary connection. */
         boolean hasPolled;
         boolean primary;
         long sentRevision;
         long sentGeneration;
-        /** The revision of the evacuations that it was told of. */
+        /** The revision of the evacuations that was sent last. */
         long sentEvacuations;
 
         Connection(PeerLink link, String ip) {
@@ -29,38 +29,42 @@
         }
     }
 
-    private final Map<PeerLink, Connection> sessions = new LinkedHashMap<>();
-    /** When each data node asked last, by address. */
-    private final Map<String, Long> askedNanos = new TreeMap<>();
+    private final Map<PeerLink, Connection> connections = new LinkedHashMap<>();
+    /** When each data node polled last, by address. */
+    private final Map<String, Long> lastPollNanos = new TreeMap<>();
 
+    /** Adds a connection of the data node at an address. */
     Connection open(PeerLink link, String ip) {
-        Connection session = new Connection(link, ip);
-        sessions.put(link, session);
-        return session;
+        Connection connection = new Connection(link, ip);
+        connections.put(link, connection);
+        return connection;
     }
 
+    /** Returns the connection on a link; null if no data node has introduced itself on it. */
     Connection find(PeerLink link) {
-        return sessions.get(link);
+        return connections.get(link);
     }
 
     void close(PeerLink link) {
-        sessions.remove(link);
+        connections.remove(link);
     }
 
+    /** Returns all open connections. */
     Iterable<Connection> all() {
-        return sessions.values();
+        return connections.values();
     }
 
-    void recordPoll(Connection session, PeerMessage.Poll poll, long nowNanos) {
-        session.hasPolled = true;
-        session.primary = poll.primary();
-        askedNanos.put(session.ip, nowNanos);
+    /** Records a data node's poll. */
+    void recordPoll(Connection connection, PeerMessage.Poll poll, long nowNanos) {
+        connection.hasPolled = true;
+        connection.primary = poll.primary();
+        lastPollNanos.put(connection.ip, nowNanos);
     }
 
-    /** How many data nodes have asked lately. */
+    /** Counts the data nodes that have polled within the last {@value #ACTIVE_MS} ms. */
     int countActive(long nowNanos) {
-        long since = nowNanos - TimeUnit.MILLISECONDS.toNanos(PRESENT_MS);
-        askedNanos.values().removeIf(asked -> asked - since <= 0);
-        return askedNanos.size();
+        long since = nowNanos - TimeUnit.MILLISECONDS.toNanos(ACTIVE_MS);
+        lastPollNanos.values().removeIf(polledNanos -> polledNanos - since <= 0);
+        return lastPollNanos.size();
     }
 }
--- a/src/main/java/routerfleet/control/DataNodeService.java
+++ b/src/main/java/routerfleet/control/DataNodeService.java
@@ -7,125 +7,133 @@
 import routerfleet.wire.Scheduler;
 import routerfleet.wire.SessionView;
 
-/** Tells data nodes of sessions, configurations and evacuations, as they change and when asked. */
+/** Sends sessions, configurations and evacuations to connected data nodes, as they change and on request. */
 final class DataNodeService {
-    /** Changes within this time go out together. */
-    private static final long GATHER_MS = 4;
+    /** Changes within this time are sent together. */
+    private static final long BATCH_DELAY_MS = 4;
 
     private final Scheduler scheduler;
     private final long epoch;
     private final SessionTable table;
-    private final DataNodeConnections nodes;
+    private final DataNodeConnections connections;
     private final ControlPeers peers;
     private final ReplicaGroup group;
     private final FreshnessTracker freshness;
-    private final long warmUntilNanos;
+    private final long warmupEndNanos;
     private byte[] earlierSessions = {};
-    private boolean flushPlanned;
+    private boolean flushScheduled;
 
-    /** @param warmUntilNanos until when the session table may still lack servers, on the scheduler's clock */
-    DataNodeService(Scheduler scheduler, long epoch, SessionTable table, DataNodeConnections nodes, ControlPeers peers,
-            ReplicaGroup group, FreshnessTracker freshness, long warmUntilNanos) {
+    /** @param warmupEndNanos until when the session table may still lack servers, on the scheduler's clock */
+    DataNodeService(Scheduler scheduler, long epoch, SessionTable table, DataNodeConnections connections,
+            ControlPeers peers, ReplicaGroup group, FreshnessTracker freshness, long warmupEndNanos) {
         this.scheduler = scheduler;
         this.epoch = epoch;
         this.table = table;
-        this.nodes = nodes;
+        this.connections = connections;
         this.peers = peers;
         this.group = group;
         this.freshness = freshness;
-        this.warmUntilNanos = warmUntilNanos;
+        this.warmupEndNanos = warmupEndNanos;
     }
 
-    /** Takes the servers known before the start, as {@link PeerMessage.EarlierSessions} carries them. */
+    /** Sets the servers known before the start, encoded as in {@link PeerMessage.EarlierSessions}. */
     void setEarlierSessions(byte[] sessions) {
         earlierSessions = sessions;
     }
 
     private boolean isWarming() {
-        return scheduler.nanoTime() - warmUntilNanos < 0;
+        return scheduler.nanoTime() - warmupEndNanos < 0;
     }
 
+    /** Registers a data node's connection, and sends the sessions that it does not have yet. */
     void receivedHello(PeerLink link, PeerMessage.DataHello hello) {
-        DataNodeConnections.Connection session = nodes.open(link, hello.ip());
+        DataNodeConnections.Connection connection = connections.open(link, hello.ip());
         boolean known = hello.epoch() == epoch && hello.revision() <= table.revision();
-        session.sentRevision = known ? hello.revision() : 0;
+        connection.sentRevision = known ? hello.revision() : 0;
         if (!known) {
-            session.sentRevision = table.revision();
+            connection.sentRevision = table.revision();
             link.send(new PeerMessage.SessionChanges(epoch, table.revision(), true, table.changesAfter(0)));
         }
         if (hello.epoch() == 0 && isWarming() && earlierSessions.length > 0) {
             link.send(new PeerMessage.EarlierSessions(earlierSessions));
         }
-        flush(session);
+        flush(connection);
     }
 
+    /**
+     * Records a poll and replies to it; the reply to a node without a configuration waits until this node's state is
+     * fresh.
+     */
     void receivedPoll(PeerLink link, PeerMessage.Poll poll) {
-        DataNodeConnections.Connection session = nodes.find(link);
-        if (session == null) {
+        DataNodeConnections.Connection connection = connections.find(link);
+        if (connection == null) {
             return;
         }
         long now = scheduler.nanoTime();
-        boolean becamePrimary = poll.primary() && !session.primary;
-        nodes.recordPoll(session, poll, now);
+        boolean becamePrimary = poll.primary() && !connection.primary;
+        connections.recordPoll(connection, poll, now);
         if (becamePrimary) {
-            session.sentGeneration = poll.generation(); // so far it has only been told the number
+            connection.sentGeneration = poll.generation(); // a secondary connection was only sent this number
         }
         if (poll.generation() == 0) {
-            Runnable answer = () -> answer(session, poll, now);
-            freshness.whenFresh(answer, answer); // it has just started, and serves nothing before it knows the newest
+            Runnable reply = () -> replyToPoll(connection, poll, now);
+            freshness.whenFresh(reply, reply); // it has just started, and serves nothing without the newest configuration
         } else {
-            answer(session, poll, now);
+            replyToPoll(connection, poll, now);
         }
     }
 
-    /** @param arrivedNanos when the question came, on the scheduler's clock */
-    private void answer(DataNodeConnections.Connection session, PeerMessage.Poll poll, long arrivedNanos) {
+    /** @param arrivedNanos when the poll arrived, on the scheduler's clock */
+    private void replyToPoll(DataNodeConnections.Connection connection, PeerMessage.Poll poll, long arrivedNanos) {
         long now = scheduler.nanoTime();
-        session.link.send(new PeerMessage.PollReply(poll.id(), group.generation(), freshness.ageMicros(arrivedNanos),
-                isWarming(), nodes.countActive(now), peers.connectedAddresses(), group.replicaAddresses(), group.evacuations()));
-        session.sentEvacuations = group.evacuations().revision();
-        flush(session);
+        connection.link.send(new PeerMessage.PollReply(poll.id(), group.generation(), freshness.ageMicros(arrivedNanos),
+                isWarming(), connections.countActive(now), peers.connectedAddresses(), group.replicaAddresses(),
+                group.evacuations()));
+        connection.sentEvacuations = group.evacuations().revision();
+        flush(connection);
     }
 
+    /** Sends the committed configuration if it is newer than the known generation. */
     void sendConfiguration(PeerLink link, long knownGeneration) {
         if (group.generation() > knownGeneration) {
             link.send(group.committed().full());
         }
     }
 
-    /** Something has changed that data nodes have to hear of. */
+    /** Schedules the sending of changes to all data nodes. */
     void scheduleFlush() {
-        if (!flushPlanned) {
-            flushPlanned = true;
-            scheduler.schedule(this::flushAll, GATHER_MS, TimeUnit.MILLISECONDS);
+        if (!flushScheduled) {
+            flushScheduled = true;
+            scheduler.schedule(this::flushAll, BATCH_DELAY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void flushAll() {
-        flushPlanned = false;
-        nodes.all().forEach(this::flush);
+        flushScheduled = false;
+        connections.all().forEach(this::flush);
     }
 
-    /** The newest configuration: what has changed, for one that has the generation before. */
-    private PeerMessage committedFor(DataNodeConnections.Connection session) {
+    /** Returns the newest configuration, as a delta where the data node has the generation before it. */
+    private PeerMessage configurationFor(DataNodeConnections.Connection connection) {
         PeerMessage.CommittedDelta delta = group.committed().delta();
-        return delta != null && delta.base() == session.sentGeneration ? delta : group.committed().full();
+        return delta != null && delta.base() == connection.sentGeneration ? delta : group.committed().full();
     }
 
-    private void flush(DataNodeConnections.Connection session) {
-        if (session.sentRevision < table.revision()) {
-            List<SessionView> changes = table.changesAfter(session.sentRevision);
-            session.sentRevision = table.revision();
-            session.link.send(new PeerMessage.SessionChanges(epoch, table.revision(), false, changes));
+    private void flush(DataNodeConnections.Connection connection) {
+        if (connection.sentRevision < table.revision()) {
+            List<SessionView> changes = table.changesAfter(connection.sentRevision);
+            connection.sentRevision = table.revision();
+            connection.link.send(new PeerMessage.SessionChanges(epoch, table.revision(), false, changes));
         }
-        if (session.sentEvacuations < group.evacuations().revision()) {
-            session.sentEvacuations = group.evacuations().revision();
-            session.link.send(new PeerMessage.EvacuationNotice(group.evacuations()));
+        if (connection.sentEvacuations < group.evacuations().revision()) {
+            connection.sentEvacuations = group.evacuations().revision();
+            connection.link.send(new PeerMessage.EvacuationNotice(group.evacuations()));
         }
-        boolean known = freshness.ageMicros(scheduler.nanoTime()) >= 0; // before, it may be any earlier configuration
-        if (known && session.hasPolled && session.sentGeneration < group.generation()) {
-            session.link.send(session.primary ? committedFor(session) : new PeerMessage.ConfigNotice(group.generation()));
-            session.sentGeneration = group.generation();
+        boolean known = freshness.ageMicros(scheduler.nanoTime()) >= 0; // before, it may be an outdated one
+        if (known && connection.hasPolled && connection.sentGeneration < group.generation()) {
+            connection.link.send(connection.primary ? configurationFor(connection)
+                    : new PeerMessage.ConfigNotice(group.generation()));
+            connection.sentGeneration = group.generation();
         }
     }
 }
--- a/src/main/java/routerfleet/control/EvacuationService.java
+++ b/src/main/java/routerfleet/control/EvacuationService.java
@@ -17,20 +17,21 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * Takes operators' calls about evacuations. The newest state is learnt first; an order that builds on that state goes
- * to the leader, and where another one was before it, all is done again. This goes on for {@value #CALL_MS} ms and only
- * while the caller waits, so that a call that was held up can't undo a later one. Where the zone is as wanted already
- * an order is decided all the same: it fences off earlier ones that are still under way.
+ * Handles operators' calls that start, stop or read evacuations of zones. A call learns the newest state and sends a
+ * command based on it to the leader; if another command was first, it starts over. It gives up after
+ * {@value #CALL_TIMEOUT_MS} ms, or when its caller disconnects, so that a delayed call can't undo a later one. A command
+ * is committed even if the zone already is in the wanted state: this invalidates earlier commands that are still on their
+ * way.
  *
- * <p>Bound: {@value #MOST_CALLS} calls at one time.
+ * <p>Limit: {@value #MAX_CALLS} concurrent calls.
  */
 final class EvacuationService {
     private static final System.Logger LOG = Loggers.get("routerfleet.control");
-    private static final int MOST_CALLS = 64;
-    private static final long CALL_MS = 900;
-    private static final long AGAIN_MS = 40;
-    /** A leader that has not answered for so long may be gone. */
-    private static final long UNANSWERED_MS = 300;
+    private static final int MAX_CALLS = 64;
+    private static final long CALL_TIMEOUT_MS = 900;
+    private static final long RETRY_DELAY_MS = 40;
+    /** A leader that has not replied within this time may have failed: the call is tried again. */
+    private static final long REPLY_TIMEOUT_MS = 300;
     private static final int OK = 200;
     private static final int INVALID = 400;
     private static final int NOT_FOUND = 404;
@@ -43,22 +44,22 @@
         private final String zone;
         private final boolean start;
         private final ControlHttp.Request request;
-        private final Consumer<ControlHttp.Response> answer;
-        /** Counts the orders that were made of it. */
-        private int orders;
+        private final Consumer<ControlHttp.Response> onResponse;
+        /** Number of commands that were sent for it. */
+        private int attempts;
 
-        Call(String zone, boolean start, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+        Call(String zone, boolean start, ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
             this.zone = zone;
             this.start = start;
             this.request = request;
-            this.answer = answer;
+            this.onResponse = onResponse;
         }
 
-        boolean callerWaits() {
+        boolean callerConnected() {
             return request.callerConnected().getAsBoolean();
         }
 
-        EvacuationOrder on(Evacuations current) {
+        EvacuationOrder command(Evacuations current) {
             return new EvacuationOrder(current.revision(), zone, start);
         }
     }
@@ -69,12 +70,12 @@
     private final FreshnessTracker freshness;
     private final ControlPeers peers;
     private final Map<Long, Call> calls = new HashMap<>();
-    private Evacuations known = Evacuations.NONE;
+    private Evacuations lastLogged = Evacuations.NONE;
     private long lastId;
 
     /**
-     * @param zones those of the deployment
-     * @param firstId drawn anew in each life of the process, so that an answer to an earlier one fits no call
+     * @param zones the zones of the deployment
+     * @param firstId drawn anew at each start of the process, so that a reply to an earlier process matches no call
      */
     EvacuationService(Scheduler scheduler, Set<String> zones, ReplicaGroup group, FreshnessTracker freshness,
             ControlPeers peers, long firstId) {
@@ -87,21 +88,21 @@
         logChanges(group.evacuations());
     }
 
-    /** Answers a call. @param path what follows the path of all evacuations */
-    void handle(String path, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    /** Handles a call. @param path what follows the common path of evacuations */
+    void handle(String path, ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
         String[] parts = path.split("/", -1);
         boolean post = request.method().equals("POST");
         if (request.method().equals("GET") && path.equals("get")) {
-            freshness.whenFresh(() -> answer.accept(state()), () -> answer.accept(unavailable()));
+            freshness.whenFresh(() -> onResponse.accept(state()), () -> onResponse.accept(unavailable()));
         } else if (!post || parts.length != 2 || !parts[1].equals(START) && !parts[1].equals(STOP)) {
-            answer.accept(ControlHttp.Response.error(NOT_FOUND, "no such resource: " + request.path()));
+            onResponse.accept(ControlHttp.Response.error(NOT_FOUND, "no such resource: " + request.path()));
         } else if (!zones.contains(parts[0])) {
-            answer.accept(ControlHttp.Response.error(NOT_FOUND, "no such zone: " + parts[0]));
+            onResponse.accept(ControlHttp.Response.error(NOT_FOUND, "no such zone: " + parts[0]));
         } else if (request.body().length > 0) {
-            answer.accept(ControlHttp.Response.error(INVALID, "this call has no body, and "
+            onResponse.accept(ControlHttp.Response.error(INVALID, "this call has no body, and "
                     + request.body().length + " bytes came"));
         } else {
-            take(new Call(parts[0], parts[1].equals(START), request, answer));
+            accept(new Call(parts[0], parts[1].equals(START), request, onResponse));
         }
     }
 
@@ -116,86 +117,86 @@
         return ControlHttp.Response.error(UNAVAILABLE, "no clear answer in time");
     }
 
-    private void take(Call call) {
-        if (calls.size() >= MOST_CALLS) {
-            call.answer.accept(unavailable());
+    private void accept(Call call) {
+        if (calls.size() >= MAX_CALLS) {
+            call.onResponse.accept(unavailable());
             return;
         }
         long id = ++lastId;
         calls.put(id, call);
-        call.callerWaits(); // the first look only begins to read
-        scheduler.schedule(() -> finish(id, unavailable()), CALL_MS, TimeUnit.MILLISECONDS);
-        decide(id);
+        call.callerConnected(); // the first check only starts a read of the connection
+        scheduler.schedule(() -> finish(id, unavailable()), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        attempt(id);
     }
 
     private void finish(long id, ControlHttp.Response response) {
         Call call = calls.remove(id);
         if (call != null) {
-            call.answer.accept(response);
+            call.onResponse.accept(response);
         }
     }
 
-    private void decide(long id) {
+    private void attempt(long id) {
         if (calls.containsKey(id)) {
-            freshness.whenFresh(() -> order(id), () -> finish(id, unavailable()));
+            freshness.whenFresh(() -> propose(id), () -> finish(id, unavailable()));
         }
     }
 
-    /** The newest state is here. */
-    private void order(long id) {
+    /** Sends a command based on the newest state, which is applied here. */
+    private void propose(long id) {
         Call call = calls.get(id);
         if (call == null) {
             return;
         }
-        EvacuationOrder order = call.on(group.evacuations());
-        if (group.isHalted() || !call.callerWaits()) {
+        EvacuationOrder command = call.command(group.evacuations());
+        if (group.isHalted() || !call.callerConnected()) {
             finish(id, unavailable());
         } else {
-            call.orders++;
-            send(id, order, call);
+            call.attempts++;
+            send(id, command, call);
         }
     }
 
-    private void send(long id, EvacuationOrder order, Call call) {
+    private void send(long id, EvacuationOrder command, Call call) {
         if (group.isLeader()) {
-            group.submitEvacuation(order, outcome -> receiveReply(new PeerMessage.EvacuationReply(id, outcome)));
+            group.submitEvacuation(command, outcome -> receiveReply(new PeerMessage.EvacuationReply(id, outcome)));
         } else if (group.leader() == null
-                || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.EvacuationRequest(id, order))) {
-            again(id);
+                || !peers.send(ReplicaNames.ip(group.leader()), new PeerMessage.EvacuationRequest(id, command))) {
+            retryLater(id);
             return;
         }
-        int sent = call.orders;
+        int sent = call.attempts;
         scheduler.schedule(() -> {
-            if (call.orders == sent) {
-                decide(id);
+            if (call.attempts == sent) {
+                attempt(id);
             }
-        }, UNANSWERED_MS, TimeUnit.MILLISECONDS);
+        }, REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void again(long id) {
-        scheduler.schedule(() -> decide(id), AGAIN_MS, TimeUnit.MILLISECONDS);
+    private void retryLater(long id) {
+        scheduler.schedule(() -> attempt(id), RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Another node has sent an order on, to this one as the leader. */
+    /** Handles a command that another node forwarded to this one as the leader. */
     void receiveForwarded(PeerLink link, PeerMessage.EvacuationRequest request) {
         group.submitEvacuation(request.order(), outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
     }
 
-    /** The leader has answered. What is not taken is decided anew. */
+    /** Handles the leader's reply: a call whose command was not accepted is tried again. */
     void receiveReply(PeerMessage.EvacuationReply reply) {
         if (reply.outcome() == EvacuationOutcome.TAKEN) {
             finish(reply.id(), ControlHttp.Response.ok());
         } else if (reply.outcome() == EvacuationOutcome.CONFLICT) {
-            decide(reply.id());
+            attempt(reply.id());
         } else {
-            again(reply.id());
+            retryLater(reply.id());
         }
     }
 
-    /** Other zones are evacuated. */
+    /** Logs which evacuations have started and ended. */
     void logChanges(Evacuations newest) {
-        List<String> before = known.zones();
-        known = newest;
+        List<String> before = lastLogged.zones();
+        lastLogged = newest;
         newest.zones().stream().filter(zone -> !before.contains(zone)).forEach(zone -> LOG.log(System.Logger.Level.INFO,
                 "zone " + zone + " is evacuated, revision " + newest.revision()));
         before.stream().filter(zone -> !newest.includes(zone)).forEach(zone -> LOG.log(System.Logger.Level.INFO,
--- a/src/main/java/routerfleet/control/HeartbeatJson.java
+++ b/src/main/java/routerfleet/control/HeartbeatJson.java
@@ -9,8 +9,8 @@
 import routerfleet.wire.SessionRecord;
 
 /**
- * The heartbeat of a model server as it is sent. Read token by token: a heartbeat is the first JSON that a control node
- * meets after a start, and the mapping to objects would cost a small machine a second there.
+ * Parses the JSON heartbeat of a model server, token by token: a heartbeat is the first JSON that a control node parses
+ * after its start, and mapping it to objects would cost a small machine a second.
  */
 final class HeartbeatJson {
     private static final JsonFactory JSON = new JsonFactory();
@@ -26,15 +26,15 @@
 
     private HeartbeatJson() { }
 
-    /** @return the session that it tells of, or in one line what is wrong with it */
+    /** @return the session that the heartbeat describes, or the error in one line */
     static Either<String, SessionRecord> read(String uid, byte[] body) {
-        HeartbeatJson told = new HeartbeatJson();
+        HeartbeatJson parsed = new HeartbeatJson();
         try (JsonParser parser = JSON.createParser(body)) {
-            told.readObject(parser);
+            parsed.readObject(parser);
         } catch (IOException e) {
             return Either.left("heartbeat can't be read: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
-        return told.session(uid);
+        return parsed.session(uid);
     }
 
     private void readObject(JsonParser parser) throws IOException {
@@ -94,8 +94,8 @@
         } catch (IllegalArgumentException e) {
             return Either.left("heartbeat: address: " + e.getMessage());
         }
-        SessionRecord.Phase told = DRAINING.equals(phase) ? SessionRecord.Phase.DRAINING : SessionRecord.Phase.READY;
-        return Either.right(new SessionRecord(uid, backend, address, zone == null ? "" : zone, capacity, told, sequence,
+        SessionRecord.Phase reported = DRAINING.equals(phase) ? SessionRecord.Phase.DRAINING : SessionRecord.Phase.READY;
+        return Either.right(new SessionRecord(uid, backend, address, zone == null ? "" : zone, capacity, reported, sequence,
                 warmupLeftMs));
     }
 }
--- a/src/main/java/routerfleet/control/PendingEvacuations.java
+++ b/src/main/java/routerfleet/control/PendingEvacuations.java
@@ -8,41 +8,45 @@
 import routerfleet.wire.PeerMessage.EvacuationOutcome;
 
 /**
- * Who waits at a leader for orders about evacuations that are proposed, by the entries at which they stand. For the
- * replica's thread.
+ * The callers that wait at a leader for the outcome of proposed evacuation commands, by log index. For the replica's
+ * thread.
  *
- * <p>Bound: {@value #MOST_WAITING} orders.
+ * <p>Limit: {@value #MAX_WAITING} callers.
  */
 final class PendingEvacuations {
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_WAITING = 256;
 
-    private final Map<Long, Consumer<EvacuationOutcome>> waiting = new TreeMap<>();
+    private final Map<Long, Consumer<EvacuationOutcome>> callbacks = new TreeMap<>();
 
+    /** Whether no more callers can be registered. */
     boolean isFull() {
-        return waiting.size() >= MOST_WAITING;
+        return callbacks.size() >= MAX_WAITING;
     }
 
-    /** Tells what becomes of the order at that entry, once it is decided; 0 for an order that could not be proposed. */
-    void register(long index, Consumer<EvacuationOutcome> answer) {
+    /** Registers a caller for the outcome of the command at a log index; 0 stands for one that could not be proposed. */
+    void register(long index, Consumer<EvacuationOutcome> callback) {
         if (index == 0) {
-            answer.accept(EvacuationOutcome.UNCLEAR);
+            callback.accept(EvacuationOutcome.UNCLEAR);
         } else {
-            waiting.put(index, answer);
+            callbacks.put(index, callback);
         }
     }
 
-    /** The order at that entry is decided. */
+    /** Reports that the command at a log index is applied. @param taken whether it has changed the state */
     void applied(long index, boolean taken) {
-        Consumer<EvacuationOutcome> answer = waiting.remove(index);
-        if (answer != null) {
-            answer.accept(taken ? EvacuationOutcome.TAKEN : EvacuationOutcome.CONFLICT);
+        Consumer<EvacuationOutcome> callback = callbacks.remove(index);
+        if (callback != null) {
+            callback.accept(taken ? EvacuationOutcome.TAKEN : EvacuationOutcome.CONFLICT);
         }
     }
 
-    /** Leadership is lost: what was proposed may or may not be decided yet. */
+    /**
+     * Reports an unknown outcome to all callers: what was proposed before leadership was lost may or may not be
+     * committed.
+     */
     void leadershipLost() {
-        List<Consumer<EvacuationOutcome>> unclear = new ArrayList<>(waiting.values());
-        waiting.clear();
-        unclear.forEach(answer -> answer.accept(EvacuationOutcome.UNCLEAR));
+        List<Consumer<EvacuationOutcome>> abandoned = new ArrayList<>(callbacks.values());
+        callbacks.clear();
+        abandoned.forEach(callback -> callback.accept(EvacuationOutcome.UNCLEAR));
     }
 }
--- a/src/main/java/routerfleet/control/QuotaGrantor.java
+++ b/src/main/java/routerfleet/control/QuotaGrantor.java
@@ -9,55 +9,59 @@
 import routerfleet.wire.QuotaDivision;
 
 /**
- * This control node's parts of the tenants' limits: a token bucket for each tenant that it holds a part of. Data nodes ask
- * for each request, and what is granted is gone from the bucket. A bucket starts empty, as nobody knows what was granted
- * before this node started. Nothing is granted by a node that may have been replaced: its view of the replicas has to be
- * confirmed by a majority within {@link #LEASE_MS}; and a part that is taken over while this node runs starts to fill only
- * after that time, when its former holder has stopped.
+ * This control node's shares of the tenants' limits: a token bucket for each tenant of which it holds a share. Data nodes
+ * ask for each request, and what is granted is taken from the bucket. A bucket starts empty, since it is not known what
+ * was granted before this node started.
  *
- * <p>Where a tenant asks for more than its limit, small requests would always find room first and large ones never. So a
- * request of any size is granted only where there is what a large one of the tenant needs.
+ * <p>A node that may have been replaced grants nothing: its view of the replica group must have been confirmed by a
+ * majority within {@link #LEASE_MS}. A share that is taken over while this node runs starts to fill only after that time,
+ * when its former holder has stopped granting.
  *
- * <p>Bound: one bucket a configured tenant. A question costs O(1).
+ * <p>If a tenant asks for more than its limit, small requests would always be granted first and large ones never. So a
+ * request of any size is granted only if the bucket holds enough for a large request of the tenant.
+ *
+ * <p>Limit: one bucket per configured tenant. A request costs O(1).
  */
 public final class QuotaGrantor {
-    /** How old the confirmation of this node's view may be. */
+    /** Maximum age of the confirmation of this node's view, in milliseconds. */
     static final long LEASE_MS = 4_500;
-    /** How fast the size of a tenant's largest request is forgotten, a question. */
-    private static final double FORGETTING = 1.0 / 1_024;
-    /** A large request finds room where there is more than it needs by this factor when small ones find none. */
+    /** Decay of the size of a tenant's largest request, per request. */
+    private static final double SIZE_DECAY = 1.0 / 1_024;
+    /**
+     * Small requests are denied below the size of the largest one times this factor, which leaves room for large ones.
+     */
     private static final double FAIR_MARGIN = 1.15;
-    /** Most of the limit's whole depth that has to be there for a small request. */
-    private static final double MOST_FAIR_PART = 0.5;
-    private static final double MS_A_SECOND = 1_000;
-    private static final long LONGEST_WAIT_MS = 10_000;
+    /** Maximum fraction of the limit's total depth that is demanded for a small request. */
+    private static final double MAX_FAIR_FRACTION = 0.5;
+    private static final double MS_PER_SECOND = 1_000;
+    private static final long MAX_WAIT_MS = 10_000;
 
-    /** One tenant's bucket here. */
+    /** The token bucket of one tenant at this node. */
     private static final class Bucket {
         private double depth;
         private double ratePerMs;
         private double level;
-        /** Until when it is filled; in the future where a former holder may still grant. */
-        private long filledAtMs;
-        private int holders;
-        /** Size of the largest request of late. */
+        /** Until when it has been refilled; in the future while a former holder may still grant. */
+        private long refilledUntilMs;
+        private int shareCount;
+        /** Size of the largest recent request. */
         private double largestSize;
 
-        void fill(long nowMs) {
-            if (nowMs > filledAtMs) {
-                level = Math.min(depth, level + ratePerMs * (nowMs - filledAtMs));
-                filledAtMs = nowMs;
+        void refill(long nowMs) {
+            if (nowMs > refilledUntilMs) {
+                level = Math.min(depth, level + ratePerMs * (nowMs - refilledUntilMs));
+                refilledUntilMs = nowMs;
             }
         }
 
-        void asked(double amount) {
-            double size = Math.min(amount, depth * holders); // nobody needs more than there can be
-            largestSize = Math.max(size, largestSize - FORGETTING * (largestSize - size));
+        void recordRequest(double amount) {
+            double size = Math.min(amount, depth * shareCount); // no request needs more than the maximum level
+            largestSize = Math.max(size, largestSize - SIZE_DECAY * (largestSize - size));
         }
 
-        /** What all holders together have to hold for a request of any size. */
+        /** What all shares together have to hold so that a request of any size is granted. */
         double fairLevel() {
-            return Math.min(MOST_FAIR_PART * depth * holders, FAIR_MARGIN * largestSize);
+            return Math.min(MAX_FAIR_FRACTION * depth * shareCount, FAIR_MARGIN * largestSize);
         }
     }
 
@@ -67,85 +71,85 @@
     private List<TenantConfig> tenants = List.of();
     private List<String> controlNodes = List.of();
     private boolean started;
-    /** Until when a former holder of a part may still grant, after the control nodes have changed. */
+    /** Until when a former holder of a share may still grant, after a change of the control nodes. */
     private long handoverUntilMs;
-    /** Into how many parts a limit is divided now. */
-    private int parts;
+    /** Number of shares into which a limit is divided now. */
+    private int shareCount;
 
-    /** @param selfIp this node's address, as replicas are named by it */
+    /** @param selfIp this node's address, by which replicas are named */
     public QuotaGrantor(String selfIp, Bounds bounds) {
         this.selfIp = selfIp;
         this.bounds = bounds;
     }
 
     /**
-     * Takes the configured tenants and the control nodes among which limits are divided; called regularly. Buckets that go
-     * on keep their level; new ones are empty. Where control nodes change while this node runs, no part is taken over or
-     * grows before its former holder has stopped.
+     * Sets the configured tenants and the control nodes among which limits are divided; to be called regularly. Buckets
+     * that stay keep their level, new ones are empty. If control nodes change while this node runs, no share is taken
+     * over or grows before its former holder has stopped granting.
      */
     public void configure(List<TenantConfig> changedTenants, List<String> changedNodes, long nowMs) {
         boolean nodesChanged = started && !controlNodes.equals(changedNodes);
         if (nodesChanged) {
             handoverUntilMs = nowMs + LEASE_MS;
         }
-        int holders = Math.min(QuotaDivision.HOLDERS, changedNodes.size());
-        int wantedParts = nowMs < handoverUntilMs ? Math.max(parts, holders) : holders;
-        if (started && !nodesChanged && tenants.equals(changedTenants) && parts == wantedParts) {
+        int targetShares = Math.min(QuotaDivision.HOLDERS, changedNodes.size());
+        int wantedShares = nowMs < handoverUntilMs ? Math.max(shareCount, targetShares) : targetShares;
+        if (started && !nodesChanged && tenants.equals(changedTenants) && shareCount == wantedShares) {
             return;
         }
         started = true;
         tenants = changedTenants;
         controlNodes = List.copyOf(changedNodes);
-        parts = wantedParts;
-        Map<String, Bucket> before = new HashMap<>(buckets);
+        shareCount = wantedShares;
+        Map<String, Bucket> previous = new HashMap<>(buckets);
         buckets.clear();
         for (TenantConfig tenant : tenants) {
             if (tenant.ratePerS() > 0 && QuotaDivision.holders(tenant.name(), controlNodes).contains(selfIp)) {
-                buckets.put(tenant.name(), bucket(before.get(tenant.name()), tenant, parts,
+                buckets.put(tenant.name(), bucket(previous.get(tenant.name()), tenant, shareCount,
                         Math.max(nowMs, handoverUntilMs), nowMs));
             }
         }
     }
 
-    /** @param startsMs when a part that is new here starts to fill */
-    private Bucket bucket(Bucket before, TenantConfig tenant, int holders, long startsMs, long nowMs) {
-        Bucket bucket = before == null ? new Bucket() : before;
-        if (before == null) {
-            bucket.filledAtMs = startsMs;
+    /** @param startsMs when a share that is new here starts to fill */
+    private Bucket bucket(Bucket previous, TenantConfig tenant, int shares, long startsMs, long nowMs) {
+        Bucket bucket = previous == null ? new Bucket() : previous;
+        if (previous == null) {
+            bucket.refilledUntilMs = startsMs;
         } else {
-            bucket.fill(nowMs);
+            bucket.refill(nowMs);
         }
-        bucket.holders = holders;
-        bucket.depth = QuotaDivision.depth(tenant, bounds) / holders;
-        bucket.ratePerMs = tenant.ratePerS() / MS_A_SECOND / holders;
+        bucket.shareCount = shares;
+        bucket.depth = QuotaDivision.depth(tenant, bounds) / shares;
+        bucket.ratePerMs = tenant.ratePerS() / MS_PER_SECOND / shares;
         bucket.level = Math.min(bucket.level, bucket.depth);
         return bucket;
     }
 
     /**
-     * Answers a data node's question.
+     * Answers a data node's request for quota.
      *
-     * @param confirmedAgeMs how long ago a majority has confirmed this node's view; negative where it never has
+     * @param confirmedAgeMs how long ago a majority confirmed this node's view, in milliseconds; negative if it never did
      */
     public PeerMessage.QuotaAnswer answer(PeerMessage.QuotaAsk ask, long confirmedAgeMs, long nowMs) {
         Bucket bucket = buckets.get(ask.tenant());
-        boolean countable = Double.isFinite(ask.amount()) && ask.amount() >= 0;
-        if (bucket == null || !countable || confirmedAgeMs < 0 || confirmedAgeMs > LEASE_MS) {
+        boolean validAmount = Double.isFinite(ask.amount()) && ask.amount() >= 0;
+        if (bucket == null || !validAmount || confirmedAgeMs < 0 || confirmedAgeMs > LEASE_MS) {
             return PeerMessage.QuotaAnswer.notHere(ask.id());
         }
-        bucket.fill(nowMs);
+        bucket.refill(nowMs);
         if (!ask.part()) {
-            bucket.asked(ask.amount());
+            bucket.recordRequest(ask.amount());
         }
-        double fair = ask.part() ? 0 : bucket.fairLevel() / bucket.holders;
-        // A request larger than the bucket may go once the bucket is full, and leaves a debt.
+        double fair = ask.part() ? 0 : bucket.fairLevel() / bucket.shareCount;
+        // A request larger than the bucket is granted once the bucket is full, and leaves a negative level.
         double needed = Math.min(bucket.depth, Math.max(ask.amount(), fair));
         if (bucket.level >= needed) {
             bucket.level -= ask.amount();
             return PeerMessage.QuotaAnswer.granted(ask.id());
         }
         long waitMs = (long) Math.ceil((needed - bucket.level) / bucket.ratePerMs);
-        return PeerMessage.QuotaAnswer.denied(ask.id(), Math.min(LONGEST_WAIT_MS, Math.max(1, waitMs)),
+        return PeerMessage.QuotaAnswer.denied(ask.id(), Math.min(MAX_WAIT_MS, Math.max(1, waitMs)),
                 Math.max(0, bucket.level), bucket.fairLevel());
     }
 }
--- a/src/main/java/routerfleet/control/SessionStorage.java
+++ b/src/main/java/routerfleet/control/SessionStorage.java
@@ -15,47 +15,52 @@
 import routerfleet.wire.SessionRecord;
 
 /**
- * The servers that a control node last knew to be ready, and those that it knew to drain or be gone, kept on its disk
- * beside the log for the first moments after all machines were lost. That a server is ready is only a hint; that one
- * drains or is gone stays true, since a name stands for one incarnation, and is acknowledged only once it is kept on enough
- * disks. It is written into two files in turn, so that a write that is interrupted leaves the one before.
+ * Stores the sessions that a control node knows on its disk, for the first moments after all machines were lost: those of
+ * ready servers, and of servers that drain or have ended. That a server is ready is only a hint. That one drains or has
+ * ended stays true, since a uid stands for one incarnation of a server, and is acknowledged only once it is on enough
+ * disks. Two files are written in turn, so that an interrupted write leaves the previous one intact.
  *
- * <p>A file holds a CRC-32 of four bytes and a {@link PeerMessage.Sessions} whose id counts the writes. Bound: as many
- * sessions as {@link SessionTable} holds, and {@value #MOST_WAITING} that wait for a write. For the node's thread but for
- * {@link #read}.
+ * <p>A file holds a CRC-32 of four bytes and a {@link PeerMessage.Sessions} whose id counts the writes. Limits: as many
+ * sessions as {@link SessionTable} holds, and {@value #MAX_WAITING} callers that wait for a write. For the node's thread,
+ * except for {@link #read}.
  */
 class SessionStorage {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.storage");
     private static final int SLOTS = 2;
     private static final int CHECKSUM_BYTES = 4;
-    private static final int MOST_WAITING = 4_096;
+    private static final int MAX_WAITING = 4_096;
 
     private final Disk disk;
     private final DiskWriter writer;
-    private final Executor loop;
+    private final Executor eventLoop;
     private final PeerCodec codec;
-    /** Of the last write that succeeded: one that fails is tried again in the same slot, the other one is whole. */
+    /** Number of the last write that succeeded. A failed one is repeated in the same slot; the other slot stays valid. */
     private long sequence;
-    private Set<Known> written = Set.of();
+    private Set<SessionPhase> written = Set.of();
     private boolean writing;
-    private List<Runnable> waiting = new ArrayList<>();
-    private Supplier<List<SessionRecord>> servers = List::of;
+    private List<Runnable> callbacks = new ArrayList<>();
+    private Supplier<List<SessionRecord>> currentSessions = List::of;
 
-    /** What counts of a server: the rest of its record changes with each heartbeat. */
-    private record Known(String uid, SessionRecord.Phase phase) { }
+    /**
+     * A session's uid and phase. Only a change of these is written: the rest of the record changes with each heartbeat.
+     */
+    private record SessionPhase(String uid, SessionRecord.Phase phase) { }
 
     /**
-     * @param writer the thread on which the disk is written
-     * @param loop the node's thread
+     * @param writer the thread that writes the disk
+     * @param eventLoop the node's thread
      */
-    SessionStorage(Disk disk, DiskWriter writer, Executor loop, PeerCodec codec) {
+    SessionStorage(Disk disk, DiskWriter writer, Executor eventLoop, PeerCodec codec) {
         this.disk = disk;
         this.writer = writer;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.codec = codec;
     }
 
-    /** Reads what was written last; nothing where the disk holds none. Before the first write, on any thread. */
+    /**
+     * Reads the sessions that were written last; none if the disk holds none. To be called before the first write, on any
+     * thread.
+     */
     List<SessionRecord> read() {
         List<SessionRecord> newest = List.of();
         for (int i = 0; i < SLOTS; i++) {
@@ -76,62 +81,62 @@
             }
             byte[] message = new byte[bytes.length - CHECKSUM_BYTES];
             System.arraycopy(bytes, CHECKSUM_BYTES, message, 0, message.length);
-            boolean whole = ByteBuffer.wrap(bytes).getInt() == checksum(message);
-            return whole ? codec.decode(message, PeerMessage.Sessions.class) : null;
+            boolean valid = ByteBuffer.wrap(bytes).getInt() == checksum(message);
+            return valid ? codec.decode(message, PeerMessage.Sessions.class) : null;
         } catch (IOException | PeerCodec.MalformedMessageException e) {
             LOG.log(System.Logger.Level.INFO, "no servers known from " + slotName(slot) + ": " + e.getMessage());
             return null;
         }
     }
 
-    /** @param current tells the servers to keep at the moment of a write */
+    /** @param current supplies the sessions to write at the moment of a write */
     void setSource(Supplier<List<SessionRecord>> current) {
-        servers = current;
+        currentSessions = current;
     }
 
-    /** Writes the servers as they are now, unless they are at the phases that were written last. */
+    /** Starts a write of the current sessions, unless their phases are those that were written last. */
     void saveIfChanged() {
-        if (!writing && !known(servers.get()).equals(written)) {
-            begin();
+        if (!writing && !phasesOf(currentSessions.get()).equals(written)) {
+            startWrite();
         }
     }
 
     /**
-     * Writes the servers as they are now.
+     * Writes the current sessions.
      *
-     * @param kept run once they are on disk; not run where the disk refuses, or too many wait for it
+     * @param onSaved run once they are on disk; not run if the write fails or too many callers wait
      */
-    void save(Runnable kept) {
-        if (waiting.size() < MOST_WAITING) {
-            waiting.add(kept);
+    void save(Runnable onSaved) {
+        if (callbacks.size() < MAX_WAITING) {
+            callbacks.add(onSaved);
         }
         if (!writing) {
-            begin();
+            startWrite();
         }
     }
 
-    private void begin() {
+    private void startWrite() {
         writing = true;
-        List<Runnable> told = waiting;
-        waiting = new ArrayList<>();
-        List<SessionRecord> current = servers.get();
+        List<Runnable> notified = callbacks;
+        callbacks = new ArrayList<>();
+        List<SessionRecord> current = currentSessions.get();
         long next = sequence + 1;
         byte[] message = codec.encode(new PeerMessage.Sessions(next, current));
         writer.execute(() -> {
-            boolean done = write((int) (next % SLOTS), message);
-            loop.execute(() -> ended(done, known(current), told));
+            boolean succeeded = write((int) (next % SLOTS), message);
+            eventLoop.execute(() -> writeFinished(succeeded, phasesOf(current), notified));
         });
     }
 
-    private void ended(boolean done, Set<Known> current, List<Runnable> told) {
+    private void writeFinished(boolean succeeded, Set<SessionPhase> current, List<Runnable> notified) {
         writing = false;
-        if (done) {
+        if (succeeded) {
             sequence++;
             written = current;
-            told.forEach(Runnable::run);
+            notified.forEach(Runnable::run);
         }
-        if (!waiting.isEmpty() && !writing) {
-            begin();
+        if (!callbacks.isEmpty() && !writing) {
+            startWrite();
         }
     }
 
@@ -145,13 +150,13 @@
             disk.syncDirectory();
             return true;
         } catch (IOException e) {
-            LOG.log(System.Logger.Level.DEBUG, "the known servers could not be kept", e);
+            LOG.log(System.Logger.Level.DEBUG, "the known sessions could not be stored", e);
             return false;
         }
     }
 
-    private static Set<Known> known(List<SessionRecord> sessions) {
-        return sessions.stream().map(s -> new Known(s.uid(), s.phase())).collect(Collectors.toSet());
+    private static Set<SessionPhase> phasesOf(List<SessionRecord> sessions) {
+        return sessions.stream().map(s -> new SessionPhase(s.uid(), s.phase())).collect(Collectors.toSet());
     }
 
     private static int checksum(byte[] bytes) {
--- a/src/main/java/routerfleet/control/SessionTable.java
+++ b/src/main/java/routerfleet/control/SessionTable.java
@@ -12,26 +12,28 @@
 
 /**
  * The sessions of model servers as one control node knows them. Records from several nodes merge to the same result in
- * any order: the highest sequence gives the details, the latest phase stays. A session that is silent for
- * {@value #SILENT_BEATS} heartbeats is told as not live, and forgotten {@value #KEEP_S} seconds after.
+ * any order: the highest sequence number determines the details, and the latest phase wins. A session without a heartbeat
+ * for {@value #MAX_MISSED_HEARTBEATS} heartbeat intervals is reported as not live, and removed {@value #RETENTION_S}
+ * seconds later.
  *
- * <p>Bound: {@value #MAX_SESSIONS} sessions; more are not taken. Each change costs O(log sessions).
+ * <p>Limit: {@value #MAX_SESSIONS} sessions; further ones are rejected. Each change costs O(log sessions).
  */
 final class SessionTable {
     static final int MAX_SESSIONS = 20_000;
-    private static final double SILENT_BEATS = 3.2;
-    private static final long KEEP_S = 45;
-    /** Heartbeats that take more or less time on their way do not tell of another warm-up. */
+    private static final double MAX_MISSED_HEARTBEATS = 3.2;
+    private static final long RETENTION_S = 45;
+    /** Differences within this range come from varying transit times of heartbeats, and do not mean another warm-up. */
     private static final long WARMUP_JITTER_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long WARMER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long WARMUP_SHORTENED_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
+    /** A session and what data nodes were notified of it. */
     private static final class Entry {
         private SessionRecord session;
-        private long heardAtNanos;
+        private long lastHeartbeatNanos;
         private boolean live = true;
         private long revision;
-        /** Until when data nodes were told that it is cold. */
-        private long toldColdUntilNanos;
+        /** Until when the server is cold, as last reported to data nodes. */
+        private long reportedColdUntilNanos;
 
         Entry(SessionRecord session) {
             this.session = session;
@@ -43,72 +45,78 @@
     private final TreeMap<Long, String> byRevision = new TreeMap<>();
     private long revision;
 
-    /** @param heartbeatMs how often a server sends its heartbeat */
+    /** @param heartbeatMs interval of a server's heartbeats */
     SessionTable(long heartbeatMs) {
-        silentAfterNanos = (long) (TimeUnit.MILLISECONDS.toNanos(heartbeatMs) * SILENT_BEATS);
+        silentAfterNanos = (long) (TimeUnit.MILLISECONDS.toNanos(heartbeatMs) * MAX_MISSED_HEARTBEATS);
     }
 
-    /** Of the last change that data nodes have to hear of. */
+    /** Returns the revision of the last change that concerns data nodes. */
     long revision() {
         return revision;
     }
 
+    /** Returns the record of a session; null if it is not known. */
     SessionRecord find(String uid) {
         Entry entry = sessions.get(uid);
         return entry == null ? null : entry.session;
     }
 
-    /** Takes a record in. @return whether data nodes have to hear of it */
-    boolean merge(SessionRecord told, long nowNanos) {
-        Entry entry = sessions.get(told.uid());
+    /** Merges a record. @return whether data nodes have to be notified */
+    boolean merge(SessionRecord received, long nowNanos) {
+        Entry entry = sessions.get(received.uid());
         if (entry == null) {
             if (sessions.size() >= MAX_SESSIONS) {
                 return false;
             }
-            entry = new Entry(told);
-            entry.heardAtNanos = nowNanos;
-            entry.toldColdUntilNanos = coldUntilNanos(told, nowNanos);
-            sessions.put(told.uid(), entry);
-            changed(told.uid(), entry);
+            entry = new Entry(received);
+            entry.lastHeartbeatNanos = nowNanos;
+            entry.reportedColdUntilNanos = coldUntilNanos(received, nowNanos);
+            sessions.put(received.uid(), entry);
+            changed(received.uid(), entry);
             return true;
         }
         SessionRecord before = entry.session;
-        boolean newer = told.sequence() > before.sequence();
-        entry.session = newer ? told.notBefore(before.phase()) : before.notBefore(told.phase());
-        boolean heard = newer && (!entry.live || warmupDiffers(entry, coldUntilNanos(told, nowNanos), nowNanos));
+        boolean newer = received.sequence() > before.sequence();
+        entry.session = newer ? received.notBefore(before.phase()) : before.notBefore(received.phase());
+        boolean statusChanged = newer
+                && (!entry.live || warmupDiffers(entry, coldUntilNanos(received, nowNanos), nowNanos));
         if (newer) {
-            entry.heardAtNanos = nowNanos;
+            entry.lastHeartbeatNanos = nowNanos;
             entry.live = true;
         }
-        if (!heard && !entry.session.differsFrom(before)) {
+        if (!statusChanged && !entry.session.differsFrom(before)) {
             return false;
         }
         if (newer) {
-            entry.toldColdUntilNanos = coldUntilNanos(told, nowNanos);
+            entry.reportedColdUntilNanos = coldUntilNanos(received, nowNanos);
         }
-        changed(told.uid(), entry);
+        changed(received.uid(), entry);
         return true;
     }
 
-    private static long coldUntilNanos(SessionRecord told, long nowNanos) {
-        return nowNanos + TimeUnit.MILLISECONDS.toNanos(Math.max(0, told.warmupLeftMs()));
+    private static long coldUntilNanos(SessionRecord received, long nowNanos) {
+        return nowNanos + TimeUnit.MILLISECONDS.toNanos(Math.max(0, received.warmupLeftMs()));
     }
 
-    /** Whether it is cold for longer than data nodes were told, or warm much sooner. */
+    /** Whether the server stays cold for longer than data nodes were notified, or is warm much earlier. */
     private static boolean warmupDiffers(Entry entry, long coldUntilNanos, long nowNanos) {
         boolean cold = coldUntilNanos - nowNanos > 0;
-        boolean colder = cold && coldUntilNanos - entry.toldColdUntilNanos > WARMUP_JITTER_NANOS;
-        return colder || entry.toldColdUntilNanos - coldUntilNanos > WARMER_NANOS;
+        boolean colder = cold && coldUntilNanos - entry.reportedColdUntilNanos > WARMUP_JITTER_NANOS;
+        return colder || entry.reportedColdUntilNanos - coldUntilNanos > WARMUP_SHORTENED_NANOS;
     }
 
-    /** Finds sessions that have fallen silent, and forgets old ones. @return whether data nodes have to hear of it */
+    /**
+     * Marks sessions without recent heartbeats as not live, and removes old ones.
+     *
+     * @return whether data nodes have to be notified
+     */
     boolean expire(long nowNanos) {
         long before = revision;
         for (Iterator<Map.Entry<String, Entry>> i = sessions.entrySet().iterator(); i.hasNext();) {
             Map.Entry<String, Entry> next = i.next();
             Entry entry = next.getValue();
-            long silent = nowNanos - entry.heardAtNanos;
-            if (silent > silentAfterNanos + TimeUnit.SECONDS.toNanos(KEEP_S)) {
+            long silent = nowNanos - entry.lastHeartbeatNanos;
+            if (silent > silentAfterNanos + TimeUnit.SECONDS.toNanos(RETENTION_S)) {
                 byRevision.remove(entry.revision);
                 i.remove();
             } else if (entry.live && silent > silentAfterNanos) {
@@ -125,17 +133,17 @@
         byRevision.put(entry.revision, uid);
     }
 
-    /** What has changed after that revision. */
-    List<SessionView> changesAfter(long known) {
+    /** Returns the sessions that have changed after a revision. */
+    List<SessionView> changesAfter(long knownRevision) {
         List<SessionView> views = new ArrayList<>();
-        for (String uid : byRevision.tailMap(known, false).values()) {
+        for (String uid : byRevision.tailMap(knownRevision, false).values()) {
             Entry entry = sessions.get(uid);
             views.add(new SessionView(entry.session, entry.live));
         }
         return views;
     }
 
-    /** All records, for another control node. */
+    /** Returns all records, for another control node. */
     List<SessionRecord> records() {
         Collection<Entry> all = sessions.values();
         List<SessionRecord> records = new ArrayList<>(all.size());
@@ -143,7 +151,9 @@
         return records;
     }
 
-    /** Records of servers that are ready and have not fallen silent, and of those that drain or are gone. */
+    /**
+     * Returns the records to store on disk: of servers that are ready and live, and of those that drain or have ended.
+     */
     List<SessionRecord> recordsToSave() {
         List<SessionRecord> records = new ArrayList<>();
         for (Entry entry : sessions.values()) {
@@ -154,7 +164,10 @@
         return records;
     }
 
-    /** The same for tables with the same servers at the same phases; sequences do not count. */
+    /**
+     * Returns a digest that is the same for tables with the same servers in the same phases, whatever their sequence
+     * numbers.
+     */
     long digest() {
         long digest = 0;
         for (Entry entry : sessions.values()) {
--- a/src/main/java/routerfleet/control/TallyAckPolicy.java
+++ b/src/main/java/routerfleet/control/TallyAckPolicy.java
@@ -5,81 +5,85 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * On how many disks an add has to be before it is acknowledged: one more than may be lost, in one more zone than may be
- * lost, as far as the control nodes that are known stand in so many.
+ * Decides on how many disks an add has to be before it is acknowledged: one more than may be lost, in one more zone than
+ * may be lost, as far as the known control nodes are that many and in that many zones.
  *
- * <p>Where so many can't be reached, nothing is acknowledged, unless this node is cut off: then all that it can reach, its
- * own disk at least, is enough. It takes itself for cut off once it has been up for {@value #SETTLED_MS} ms and has had too
- * few connected for {@value #SILENT_MS} ms without a break: processes that restart are back by then, so this is not taken
- * for a cut. As soon as enough are connected again, the full number holds.
+ * <p>If too few nodes for that are connected, nothing is acknowledged, unless this node is cut off. Then the disks of the
+ * nodes that it reaches suffice, or its own alone. A node considers itself cut off once it has been up for
+ * {@value #MIN_UPTIME_MS} ms and has had too few nodes connected for {@value #MIN_OUTAGE_MS} ms without interruption:
+ * restarting processes are back by then, so that a restart is not mistaken for a partition. As soon as enough nodes are
+ * connected, the full requirement applies again.
  */
 class TallyAckPolicy {
     private static final System.Logger LOG = routerfleet.log.Loggers.get("routerfleet.control.tallies");
-    private static final long SETTLED_MS = 4_000;
-    private static final long SILENT_MS = 2_000;
+    private static final long MIN_UPTIME_MS = 4_000;
+    private static final long MIN_OUTAGE_MS = 2_000;
 
-    private final int copies;
-    private final int zones;
+    private final int requiredDisks;
+    private final int requiredZones;
     private final String selfIp;
     private final String selfZone;
     private final ControlPeers peers;
     private long startedNanos;
-    /** Since when too few are connected, and none. */
-    private boolean few = true;
-    private long fewSinceNanos;
-    private boolean none = true;
-    private long noneSinceNanos;
+    /** Whether too few other nodes are connected, whether none are, and since when. */
+    private boolean tooFew = true;
+    private long tooFewSinceNanos;
+    private boolean isolated = true;
+    private long isolatedSinceNanos;
     private boolean cutOff;
 
-    /** @param copies disks that have to hold an add; @param zones in which they have to stand */
-    TallyAckPolicy(int copies, int zones, String selfIp, String selfZone, ControlPeers peers) {
-        this.copies = copies;
-        this.zones = zones;
+    /**
+     * @param requiredDisks number of disks that have to hold an add
+     * @param requiredZones number of zones that these have to be in
+     */
+    TallyAckPolicy(int requiredDisks, int requiredZones, String selfIp, String selfZone, ControlPeers peers) {
+        this.requiredDisks = requiredDisks;
+        this.requiredZones = requiredZones;
         this.selfIp = selfIp;
         this.selfZone = selfZone;
         this.peers = peers;
     }
 
-    /** Begins to count times. */
+    /** Starts to measure the uptime and the time without enough connections. */
     void start(long nowNanos) {
         startedNanos = nowNanos;
-        fewSinceNanos = nowNanos;
-        noneSinceNanos = nowNanos;
+        tooFewSinceNanos = nowNanos;
+        isolatedSinceNanos = nowNanos;
     }
 
-    /** Looks which nodes are connected; as often as that may change. */
+    /** Updates the state from the connected nodes; to be called whenever these may have changed, and regularly. */
     void update(long nowNanos) {
-        boolean fewNow = !isFull(peers.connectedBothWays());
-        if (fewNow && !few) {
-            fewSinceNanos = nowNanos;
+        boolean tooFewNow = !meetsRequirement(peers.connectedBothWays());
+        if (tooFewNow && !tooFew) {
+            tooFewSinceNanos = nowNanos;
         }
-        few = fewNow;
-        boolean noneNow = peers.connectedBothWays().isEmpty();
-        if (noneNow && !none) {
-            noneSinceNanos = nowNanos;
+        tooFew = tooFewNow;
+        boolean isolatedNow = peers.connectedBothWays().isEmpty();
+        if (isolatedNow && !isolated) {
+            isolatedSinceNanos = nowNanos;
         }
-        none = noneNow;
-        boolean cutOffNow = few && millis(nowNanos - fewSinceNanos) >= minOutageMs()
+        isolated = isolatedNow;
+        boolean cutOffNow = tooFew && millis(nowNanos - tooFewSinceNanos) >= minOutageMs()
                 && millis(nowNanos - startedNanos) >= minUptimeMs();
         if (cutOffNow != cutOff) {
             cutOff = cutOffNow;
             LOG.log(System.Logger.Level.WARNING, cutOff
-                    ? "cut off: tallies are acknowledged on the disks of " + reachable() + " alone"
-                    : "no longer cut off: tallies are acknowledged on " + copies + " disks again");
+                    ? "cut off: tallies are acknowledged on the disks of " + reachableNames() + " alone"
+                    : "no longer cut off: tallies are acknowledged on " + requiredDisks + " disks again");
         }
     }
 
-    /** For how long too few have to be missing. */
+    /** How long too few nodes have to be connected before this node counts as cut off, in milliseconds. */
     long minOutageMs() {
-        return SILENT_MS;
+        return MIN_OUTAGE_MS;
     }
 
-    /** How long this node has to be up. */
+    /** How long this node has to be up before it can count as cut off, in milliseconds. */
     long minUptimeMs() {
-        return SETTLED_MS;
+        return MIN_UPTIME_MS;
     }
 
-    private String reachable() {
+    private String reachableNames() {
         Set<String> all = new TreeSet<>(peers.connectedBothWays());
         all.add(selfIp);
         return String.join(", ", all);
@@ -89,24 +93,25 @@
         return TimeUnit.NANOSECONDS.toMillis(nanos);
     }
 
-    /** Whether an add can be acknowledged at all with the nodes that are connected. */
+    /** Whether adds can be acknowledged with the nodes that are connected now. */
     boolean canAcknowledge() {
-        return !few || cutOff;
+        return !tooFew || cutOff;
     }
 
-    /** Whether no other node has been connected for so long. */
+    /** Whether no other node has been connected for a number of milliseconds. */
     boolean isIsolatedFor(long ms, long nowNanos) {
-        return none && millis(nowNanos - noneSinceNanos) >= ms;
+        return isolated && millis(nowNanos - isolatedSinceNanos) >= ms;
     }
 
-    /** Whether an add may be acknowledged. @param others the nodes that hold it on disk, beside this one */
+    /** Whether an add may be acknowledged. @param others the other nodes that hold it on disk */
     boolean isDurable(Set<String> others) {
-        return isFull(others) || cutOff && others.containsAll(peers.connectedBothWays());
+        return meetsRequirement(others) || cutOff && others.containsAll(peers.connectedBothWays());
     }
 
-    private boolean isFull(Set<String> others) {
+    private boolean meetsRequirement(Set<String> others) {
         Set<String> holders = new TreeSet<>(others);
         holders.add(selfIp);
-        return holders.size() >= Math.min(copies, peers.knownAddresses().size()) && peers.spanZones(holders, selfZone, zones);
+        return holders.size() >= Math.min(requiredDisks, peers.knownAddresses().size())
+                && peers.spanZones(holders, selfZone, requiredZones);
     }
 }
--- a/src/main/java/routerfleet/control/TallyJson.java
+++ b/src/main/java/routerfleet/control/TallyJson.java
@@ -6,14 +6,16 @@
 import io.vavr.control.Either;
 import java.io.IOException;
 
-/** An add to a tally as it is sent: {@code uid} names it, {@code owner} is the amount. Read token by token. */
+/**
+ * Parses the JSON body of an add to a tally, token by token: {@code uid} identifies the add, {@code owner} is the amount.
+ */
 final class TallyJson {
     static final int MAX_UID_LENGTH = 128;
-    /** An amount up to which the total of a tally can't overflow before 2^23 adds. */
+    /** Maximum amount of an add: the total of a tally can't overflow before 2^23 adds. */
     static final long MAX_AMOUNT = 1L << 40;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** What an add says. */
+    /** An add. */
     record Add(String uid, long amount) { }
 
     private String uid;
@@ -21,15 +23,15 @@
 
     private TallyJson() { }
 
-    /** @return the add, or in one line what is wrong with it */
+    /** @return the add, or the error in one line */
     static Either<String, Add> read(byte[] body) {
-        TallyJson told = new TallyJson();
+        TallyJson parsed = new TallyJson();
         try (JsonParser parser = JSON.createParser(body)) {
-            told.readObject(parser);
+            parsed.readObject(parser);
         } catch (IOException e) {
             return Either.left("add can't be read: " + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
-        return told.checked();
+        return parsed.checked();
     }
 
     private void readObject(JsonParser parser) throws IOException {
--- a/src/main/java/routerfleet/control/TallyLimits.java
+++ b/src/main/java/routerfleet/control/TallyLimits.java
@@ -1,13 +1,15 @@
 package routerfleet.control;
 
 /**
- * How much a node remembers of tallies.
+ * Limits of what a node stores of tallies.
  *
- * @param foldThreshold entries, with their uids, beyond which the oldest are folded into the base once all nodes hold them
- * @param maxEntriesForAdds entries beyond which no adds are taken: nodes that can't be reached keep them from being folded
- * @param maxEntriesForMerges entries beyond which none of other nodes are taken
- * @param maxTallies names of tallies beyond which no new one is taken from a caller
- * @param maxOrigins lives of disks beyond which none is added
+ * @param foldThreshold number of entries, with their uids, above which the oldest are folded into the base once all nodes
+ * hold them
+ * @param maxEntriesForAdds number of entries from which no more adds are accepted: while nodes are unreachable, entries
+ * can't be folded
+ * @param maxEntriesForMerges number of entries above which none are accepted from other nodes
+ * @param maxTallies number of tallies from which callers can't create another
+ * @param maxOrigins number of origins (one for each disk a node has had) from which no more are accepted
  */
 record TallyLimits(int foldThreshold, int maxEntriesForAdds, int maxEntriesForMerges, int maxTallies, int maxOrigins) {
     /** An entry with a uid of 16 characters takes 124 to 145 bytes of memory and 23 on disk: 20 MB and 4 MB at most. */
--- a/src/main/java/routerfleet/control/TallyReplicaProgress.java
+++ b/src/main/java/routerfleet/control/TallyReplicaProgress.java
@@ -8,70 +8,74 @@
 import routerfleet.journal.JournalVector;
 import routerfleet.journal.Origin;
 
-/** What other control nodes have told to hold of the journal on their disks. */
+/** Tracks which entries of the journal the other control nodes have reported to hold on their disks. */
 final class TallyReplicaProgress {
     /**
-     * What is known of one node.
+     * What one node has reported.
      *
-     * @param whole the last vector that it told, all at one moment
-     * @param upTo the same, and what it told since
+     * @param disk the origin that stands for the node's current disk
+     * @param lastVector the last complete vector that it sent, a consistent state
+     * @param upTo the same with what it has reported since
      */
-    private record Holder(Origin disk, JournalVector whole, SortedMap<Origin, Long> upTo) { }
+    private record Progress(Origin disk, JournalVector lastVector, SortedMap<Origin, Long> upTo) { }
 
-    private final Map<String, Holder> holders = new TreeMap<>();
+    private final Map<String, Progress> progressByNode = new TreeMap<>();
 
-    /** A node tells all that its disk holds; what it told on another connection may go further. */
+    /** Records the complete vector of a node's disk; reports on another connection may already go further. */
     void update(Origin holder, JournalVector held) {
-        Holder known = holders.get(holder.node());
+        Progress known = progressByNode.get(holder.node());
         SortedMap<Origin, Long> upTo = new TreeMap<>(held.upTo());
         if (known != null && known.disk().equals(holder)) {
             known.upTo().forEach((origin, number) -> upTo.merge(origin, number, Math::max));
         }
-        holders.put(holder.node(), new Holder(holder, held, upTo));
+        progressByNode.put(holder.node(), new Progress(holder, held, upTo));
     }
 
-    /** A node tells that its disk holds more of an origin; what an earlier disk of it tells late is passed over. */
+    /**
+     * Records that a node's disk holds more entries of an origin; late reports about a node's earlier disk are ignored.
+     */
     void update(Origin holder, Origin origin, long upTo) {
-        Holder known = holders.get(holder.node());
+        Progress known = progressByNode.get(holder.node());
         if (known != null && known.disk().equals(holder)) {
             known.upTo().merge(origin, upTo, Math::max);
         }
     }
 
-    /** Gives up all nodes but these. */
+    /** Removes all nodes except these. */
     void retainNodes(Set<String> nodes) {
-        holders.keySet().retainAll(nodes);
+        progressByNode.keySet().retainAll(nodes);
     }
 
-    /** What a node holds; nothing where it has not told. */
+    /** Returns what a node holds; an empty vector if it has not reported. */
     JournalVector vectorOf(String node) {
-        Holder known = holders.get(node);
+        Progress known = progressByNode.get(node);
         return known == null ? JournalVector.EMPTY : new JournalVector(known.upTo());
     }
 
     /**
-     * Up to where all nodes hold all entries.
+     * Returns up to which number of each origin all nodes hold all entries.
      *
-     * @param nodes the others
+     * @param nodes the other nodes
      * @param own what this node holds
-     * @return nothing where a node has not told, or holds more than this one: not all that it had taken is known here
+     * @return an empty vector if a node has not reported, or holds more than this one: then this node does not know all
+     * entries that the other may have accepted
      */
     JournalVector heldByAll(Set<String> nodes, JournalVector own) {
-        SortedMap<Origin, Long> least = new TreeMap<>(own.upTo());
+        SortedMap<Origin, Long> minimum = new TreeMap<>(own.upTo());
         for (String node : nodes) {
-            Holder known = holders.get(node);
-            if (known == null || !own.covers(known.whole())) {
+            Progress known = progressByNode.get(node);
+            if (known == null || !own.covers(known.lastVector())) {
                 return JournalVector.EMPTY;
             }
-            least.replaceAll((origin, number) -> Math.min(number, known.whole().of(origin)));
+            minimum.replaceAll((origin, number) -> Math.min(number, known.lastVector().of(origin)));
         }
-        return new JournalVector(least);
+        return new JournalVector(minimum);
     }
 
-    /** Which other nodes hold an entry. */
+    /** Returns the other nodes that hold an entry on disk. */
     Set<String> holdersOf(Origin origin, long number) {
         Set<String> all = new TreeSet<>();
-        holders.forEach((node, holder) -> {
+        progressByNode.forEach((node, holder) -> {
             if (holder.upTo().getOrDefault(origin, 0L) >= number) {
                 all.add(node);
             }
--- a/src/main/java/routerfleet/control/TallyService.java
+++ b/src/main/java/routerfleet/control/TallyService.java
@@ -21,21 +21,22 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * Tallies: counters that every control node adds to and reads, whichever others it reaches. Each node keeps a journal of
- * the adds that it has taken, sends new entries to all others, and exchanges by vectors what a connection that was lost
- * has kept from them; entries of third nodes are passed on too. An add is acknowledged once its entry is on enough disks
- * ({@link TallyAckPolicy}). Design and argument: docs/tallies.md. For the node's thread but for {@link #load}.
+ * Tallies: replicated counters that can be incremented and read at every control node, independent of which others it
+ * reaches. Each node keeps a journal of the adds that it has accepted, and sends new entries to all others. Entries that
+ * were lost with a connection are exchanged by comparing vectors; entries of third nodes are passed on too. An add is
+ * acknowledged once its entry is on enough disks ({@link TallyAckPolicy}). docs/tallies.md describes the design and
+ * argues its correctness. For the node's thread, except for {@link #load}.
  */
 final class TallyService {
     private static final long TICK_MS = 250;
-    private static final int MOST_NAME_LENGTH = 128;
-    private static final int MOST_PIECE = 512;
-    /** How often another node is asked for what is missing before the entries that it sends. */
-    private static final long ASK_AGAIN_MS = 20;
-    /** A node without a disk's content that reaches no other for so long tells what it has. */
-    private static final long ALONE_MS = 2_000;
-    /** After so long without an answer of a node that holds everything, there is none to wait for. */
-    private static final long FILLING_MS = 5_000;
+    private static final int MAX_NAME_LENGTH = 128;
+    private static final int MAX_ENTRIES_PER_MESSAGE = 512;
+    /** Minimum interval between requests for entries missing before those that another node has sent. */
+    private static final long REQUEST_INTERVAL_MS = 20;
+    /** A node with an empty disk that has reached no other node for this long serves reads from what it has. */
+    private static final long ISOLATED_READ_MS = 2_000;
+    /** After this time without a response from a node that holds everything, this node stops waiting for one. */
+    private static final long FILL_TIMEOUT_MS = 5_000;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
@@ -45,39 +46,42 @@
     private final Scheduler scheduler;
     private final ControlPeers peers;
     private final TallyStorage storage;
-    private final TallyLimits bounds;
+    private final TallyLimits limits;
     private final Journal journal = new Journal();
-    private final TallyReplicaProgress copies = new TallyReplicaProgress();
-    private final TallyAckPolicy reach;
+    private final TallyReplicaProgress progress = new TallyReplicaProgress();
+    private final TallyAckPolicy ackPolicy;
     private Origin self;
-    private TallyWriter commits;
+    private TallyWriter writer;
     private PendingTallyAdds adds;
-    /** Whether the disk held a journal, or there was none anywhere, or another filled node has given what it holds. */
+    /**
+     * Whether this node holds everything: its disk held a journal, or none existed anywhere, or a complete node has sent
+     * its entries.
+     */
     private boolean filled;
     private final boolean firstStart;
     private boolean ready;
     private boolean evenTick;
-    private long askedMs;
-    /** How far the journal went at the last tick: what a node lacks of that is not just on its way. */
-    private JournalVector settled = JournalVector.EMPTY;
-    private final TreeMap<String, JournalVector> told = new TreeMap<>();
+    private long lastRequestMs;
+    /** The journal's vector at the last tick: entries of it that a node lacks are not merely in transit. */
+    private JournalVector lastTickVector = JournalVector.EMPTY;
+    private final TreeMap<String, JournalVector> sentVectors = new TreeMap<>();
 
     TallyService(LocalSettings settings, Scheduler scheduler, ControlPeers peers, TallyStorage storage,
-            TallyLimits bounds, TallyAckPolicy reach) {
-        this.bounds = bounds;
+            TallyLimits limits, TallyAckPolicy ackPolicy) {
+        this.limits = limits;
         firstStart = settings.bootstrap();
         this.ip = settings.ip();
         this.scheduler = scheduler;
         this.peers = peers;
         this.storage = storage;
-        this.reach = reach;
+        this.ackPolicy = ackPolicy;
     }
 
     /**
-     * Reads the disk.
+     * Reads the journal from disk.
      *
-     * @param life names an empty disk's life
-     * @throws IOException if it can't be read
+     * @param life identifies the disk if it is empty
+     * @throws IOException if the disk can't be read or its content is malformed
      */
     void load(long life) throws IOException {
         TallyStorage.Opened opened = storage.open();
@@ -99,99 +103,102 @@
         filled = true;
     }
 
-    /** Begins, with what was loaded. */
+    /** Starts the service with the loaded journal. */
     void start() {
-        reach.start(scheduler.nanoTime());
-        askedMs = scheduler.millis() - ASK_AGAIN_MS;
-        commits = new TallyWriter(scheduler, storage, journal, bounds, self,
+        ackPolicy.start(scheduler.nanoTime());
+        lastRequestMs = scheduler.millis() - REQUEST_INTERVAL_MS;
+        writer = new TallyWriter(scheduler, storage, journal, limits, self,
                 entries -> peers.sendToAll(new PeerMessage.TallyEntries(entries, false, false, filled)));
-        adds = new PendingTallyAdds(scheduler, commits,
-                entry -> reach.isDurable(copies.holdersOf(entry.origin(), entry.number())));
-        commits.start(() -> {
+        adds = new PendingTallyAdds(scheduler, writer,
+                entry -> ackPolicy.isDurable(progress.holdersOf(entry.origin(), entry.number())));
+        writer.start(() -> {
             ready = true;
-            peers.sendToAll(ask());
+            peers.sendToAll(vectorRequest());
         });
         scheduler.every(TICK_MS, this::tick);
-        scheduler.schedule(() -> filled = true, FILLING_MS, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> filled = true, FILL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private PeerMessage ask() {
+    private PeerMessage vectorRequest() {
         return new PeerMessage.TallyVector(self, journal.vector(), true);
     }
 
     // ---- the HTTP interface
 
-    /** Answers a request for {@code NAME/patch} or {@code NAME/get}. */
-    void handle(String[] parts, ControlHttp.Request request, Consumer<ControlHttp.Response> answer) {
+    /** Handles a request for {@code NAME/patch} or {@code NAME/get}. */
+    void handle(String[] parts, ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) {
         boolean adds = parts.length == 2 && parts[1].equals("patch") && request.method().equals("POST");
         boolean reads = parts.length == 2 && parts[1].equals("get") && request.method().equals("GET");
         if (!adds && !reads) {
-            answer.accept(ControlHttp.Response.error(NOT_FOUND, "no such resource: " + request.path()));
-        } else if (parts[0].isEmpty() || parts[0].length() > MOST_NAME_LENGTH) {
-            answer.accept(ControlHttp.Response.error(BAD_REQUEST,
-                    "the name of a tally is to have 1 to " + MOST_NAME_LENGTH + " characters"));
+            onResponse.accept(ControlHttp.Response.error(NOT_FOUND, "no such resource: " + request.path()));
+        } else if (parts[0].isEmpty() || parts[0].length() > MAX_NAME_LENGTH) {
+            onResponse.accept(ControlHttp.Response.error(BAD_REQUEST,
+                    "the name of a tally is to have 1 to " + MAX_NAME_LENGTH + " characters"));
         } else if (adds) {
-            add(parts[0], request.body(), answer);
+            add(parts[0], request.body(), onResponse);
         } else {
-            read(parts[0], answer);
+            read(parts[0], onResponse);
         }
     }
 
-    private void read(String tally, Consumer<ControlHttp.Response> answer) {
-        if (!filled && !reach.isIsolatedFor(ALONE_MS, scheduler.nanoTime())) {
-            answer.accept(ControlHttp.Response.refusal("an empty disk: no other control node has told its tallies yet"));
+    private void read(String tally, Consumer<ControlHttp.Response> onResponse) {
+        if (!filled && !ackPolicy.isIsolatedFor(ISOLATED_READ_MS, scheduler.nanoTime())) {
+            onResponse.accept(
+                    ControlHttp.Response.refusal("an empty disk: no other control node has told its tallies yet"));
             return;
         }
         byte[] body = ("{\"total\":" + journal.total(tally) + "}").getBytes(StandardCharsets.US_ASCII);
-        answer.accept(new ControlHttp.Response(OK, body));
+        onResponse.accept(new ControlHttp.Response(OK, body));
     }
 
-    private void add(String tally, byte[] body, Consumer<ControlHttp.Response> answer) {
-        Either<String, TallyJson.Add> told = TallyJson.read(body);
-        if (told.isLeft()) {
-            answer.accept(ControlHttp.Response.error(BAD_REQUEST, told.getLeft()));
+    private void add(String tally, byte[] body, Consumer<ControlHttp.Response> onResponse) {
+        Either<String, TallyJson.Add> parsed = TallyJson.read(body);
+        if (parsed.isLeft()) {
+            onResponse.accept(ControlHttp.Response.error(BAD_REQUEST, parsed.getLeft()));
             return;
         }
-        String uid = told.get().uid();
+        String uid = parsed.get().uid();
         JournalEntry held = journal.find(tally, uid);
         if (adds.isPending(tally, uid)) {
-            adds.join(tally, uid, answer);
+            adds.join(tally, uid, onResponse);
         } else if (adds.isFull()) {
-            answer.accept(ControlHttp.Response.refusal("too many adds wait"));
+            onResponse.accept(ControlHttp.Response.refusal("too many adds wait"));
         } else if (held != null) {
-            adds.awaitExisting(held, answer);
-        } else if (!journal.knows(tally) && journal.tallies() >= bounds.maxTallies()) {
-            answer.accept(ControlHttp.Response.error(UNPROCESSABLE, "there are " + bounds.maxTallies() + " tallies already"));
-        } else if (journal.size() >= bounds.maxEntriesForAdds() || journal.last(self) == 0 && journal.origins() >= bounds.maxOrigins()) {
-            answer.accept(ControlHttp.Response.refusal("too many adds are not known to all control nodes yet"));
-        } else if (!ready || commits.isStalled()) {
-            answer.accept(ControlHttp.Response.refusal("the disk takes no adds now"));
-        } else if (!reach.canAcknowledge()) {
-            answer.accept(ControlHttp.Response.refusal("too few control nodes are connected"));
+            adds.awaitExisting(held, onResponse);
+        } else if (!journal.knows(tally) && journal.tallies() >= limits.maxTallies()) {
+            onResponse.accept(
+                    ControlHttp.Response.error(UNPROCESSABLE, "there are " + limits.maxTallies() + " tallies already"));
+        } else if (journal.size() >= limits.maxEntriesForAdds()
+                || journal.last(self) == 0 && journal.origins() >= limits.maxOrigins()) {
+            onResponse.accept(ControlHttp.Response.refusal("too many adds are not known to all control nodes yet"));
+        } else if (!ready || writer.isStalled()) {
+            onResponse.accept(ControlHttp.Response.refusal("the disk takes no adds now"));
+        } else if (!ackPolicy.canAcknowledge()) {
+            onResponse.accept(ControlHttp.Response.refusal("too few control nodes are connected"));
         } else {
-            adds.add(tally, told.get(), answer);
+            adds.add(tally, parsed.get(), onResponse);
         }
     }
 
     // ---- other control nodes
 
-    /** A connection that this node opened is up, and introduced. */
+    /** Handles the opening of a connection by this node, after its introduction was sent. */
     void connected(PeerLink link) {
         if (ready) {
-            link.send(ask());
+            link.send(vectorRequest());
         }
         connectionsChanged();
     }
 
-    /** Which nodes are connected may have changed. */
+    /** Handles a possible change of the connected nodes. */
     void connectionsChanged() {
-        reach.update(scheduler.nanoTime());
+        ackPolicy.update(scheduler.nanoTime());
         adds.completeDurable();
     }
 
-    /** Another node tells what it holds: it gets what it lacks. */
+    /** Handles another node's vector: sends the entries that it lacks. */
     void received(PeerLink link, PeerMessage.TallyVector vector) {
-        copies.update(vector.holder(), vector.held());
+        progress.update(vector.holder(), vector.held());
         adds.completeDurable();
         if (!ready) {
             return;
@@ -200,50 +207,54 @@
             link.send(new PeerMessage.TallyBases(journal.bases()));
             return;
         }
-        boolean lacks = !journal.behind(vector.held(), settled, self, 1).isEmpty();
+        boolean lacks = !journal.behind(vector.held(), lastTickVector, self, 1).isEmpty();
         if (lacks || vector.asks()) {
-            List<JournalEntry> lacking = journal.behind(vector.held(), journal.vector(), self, MOST_PIECE);
-            link.send(new PeerMessage.TallyEntries(lacking, lacking.size() >= MOST_PIECE, vector.asks(), filled));
+            List<JournalEntry> lacking = journal.behind(vector.held(), journal.vector(), self, MAX_ENTRIES_PER_MESSAGE);
+            link.send(new PeerMessage.TallyEntries(lacking, lacking.size() >= MAX_ENTRIES_PER_MESSAGE, vector.asks(),
+                    filled));
         }
     }
 
-    /** Another node's entries; it is told once they are on disk here. */
-    void received(PeerLink link, PeerMessage.TallyEntries told) {
-        commits.merge(told.entries(), () -> {
+    /** Stores another node's entries, and reports to it once they are on disk. */
+    void received(PeerLink link, PeerMessage.TallyEntries message) {
+        writer.merge(message.entries(), () -> {
             Set<Origin> origins = new TreeSet<>();
-            told.entries().forEach(entry -> origins.add(entry.origin()));
+            message.entries().forEach(entry -> origins.add(entry.origin()));
             origins.forEach(origin -> link.send(new PeerMessage.TallyHeld(self, origin, journal.last(origin))));
-            if (told.more() || isBehind(told.entries()) && mayAskNow()) {
-                link.send(ask());
-            } else if (told.answers() && told.filled()) {
+            if (message.more() || hasGapBefore(message.entries()) && mayRequestNow()) {
+                link.send(vectorRequest());
+            } else if (message.answers() && message.filled()) {
                 filled = true;
             }
         });
     }
 
-    /** Whether some before these are missing: with each new one that comes, all would wait for the next tick. */
-    private boolean isBehind(List<JournalEntry> entries) {
+    /**
+     * Whether entries before these are missing. They are requested at once: each new entry would otherwise wait for the
+     * next tick.
+     */
+    private boolean hasGapBefore(List<JournalEntry> entries) {
         return entries.stream().anyMatch(entry -> entry.number() > journal.last(entry.origin()));
     }
 
-    private boolean mayAskNow() {
+    private boolean mayRequestNow() {
         long now = scheduler.millis();
-        if (now - askedMs < ASK_AGAIN_MS) {
+        if (now - lastRequestMs < REQUEST_INTERVAL_MS) {
             return false;
         }
-        askedMs = now;
+        lastRequestMs = now;
         return true;
     }
 
-    /** Another node has entries on its disk. */
+    /** Handles a report that another node has stored entries. */
     void received(PeerMessage.TallyHeld held) {
-        copies.update(held.holder(), held.origin(), held.upTo());
+        progress.update(held.holder(), held.origin(), held.upTo());
         adds.completeDurable();
     }
 
-    /** Another node's bases, where this node lacks what was folded into them. */
-    void received(PeerLink link, PeerMessage.TallyBases told) {
-        commits.mergeBases(told.bases(), () -> link.send(ask()));
+    /** Merges another node's bases, sent if this node lacks entries that were folded into them. */
+    void received(PeerLink link, PeerMessage.TallyBases message) {
+        writer.mergeBases(message.bases(), () -> link.send(vectorRequest()));
     }
 
     private void tick() {
@@ -254,23 +265,23 @@
         }
         JournalVector now = journal.vector();
         Set<String> known = new TreeSet<>(peers.knownAddresses());
-        copies.retainNodes(known);
-        told.keySet().retainAll(known);
+        progress.retainNodes(known);
+        sentVectors.keySet().retainAll(known);
         for (String peer : known) {
-            boolean differs = !filled || !now.equals(copies.vectorOf(peer)) || !now.equals(told.get(peer));
+            boolean differs = !filled || !now.equals(progress.vectorOf(peer)) || !now.equals(sentVectors.get(peer));
             if (differs && peers.send(peer, new PeerMessage.TallyVector(self, now, !filled))) {
-                told.put(peer, now);
+                sentVectors.put(peer, now);
             }
         }
-        settled = now;
+        lastTickVector = now;
         foldOldest(known, now);
     }
 
-    /** What all hold is folded, so that the journal keeps a bounded number of entries. */
+    /** Folds the oldest entries that all nodes hold, which bounds the journal. */
     private void foldOldest(Set<String> known, JournalVector now) {
-        if (journal.size() > bounds.foldThreshold()) {
+        if (journal.size() > limits.foldThreshold()) {
             known.remove(ip);
-            journal.fold(copies.heldByAll(known, now), bounds.foldThreshold());
+            journal.fold(progress.heldByAll(known, now), limits.foldThreshold());
         }
     }
 }
--- a/src/main/java/routerfleet/control/TallyStorage.java
+++ b/src/main/java/routerfleet/control/TallyStorage.java
@@ -10,32 +10,33 @@
 import routerfleet.log.Loggers;
 
 /**
- * A journal on disk: two slots that are written in turn, each a snapshot with records behind it. A new snapshot goes whole
- * into the slot that is not in use, is synced, and only then takes over.
+ * Stores a journal of tallies on disk, in two slots that are used in turn. Each slot holds a snapshot followed by
+ * records. A new snapshot is written and synced completely in the unused slot before that slot replaces the other.
  *
- * <p>Each record has its length and a CRC-32, which goes on from that of the record before: what is torn at the end, and
- * what an earlier use of the file has left behind it, is cut. One write at a time is under way, on the disk's own thread,
- * and each is synced before it is told to be stored. A write for which there is no room is refused, and nothing of it
- * stays; one whose sync fails may have reached the disk, and is tried again until it does.
+ * <p>Each record has its length and a CRC-32 that includes the checksum of the record before it: a torn record at the
+ * end, and what an earlier use of the file has left behind, is cut off. One write at a time is in progress, on the disk's
+ * own thread, and is synced before it is reported as stored. A write for which there is no space is refused and has no
+ * effect; one whose sync fails may have reached the disk, and is repeated until it succeeds.
  */
 class TallyStorage {
     private static final System.Logger LOG = Loggers.get("routerfleet.control.storage");
     private static final int SLOTS = 2;
-    private static final int HEAD = 2 * Integer.BYTES;
+    private static final int HEADER_BYTES = 2 * Integer.BYTES;
     private static final long RETRY_MS = 100;
 
-    /** What the disk held: the newest whole slot's snapshot, and the records behind it. */
+    /** What the disk held: the snapshot and the records of the newest valid slot. */
     record Opened(byte[] snapshot, List<byte[]> records) { }
 
-    /** A slot as it was read. */
+    /** A slot as it was read. @param chain the checksum of its last record */
     private record Slot(long sequence, Opened opened, long length, int chain) { }
 
-    /** A write that can be tried again as a whole. */
-    private interface Work {
-        /** @throws RefusedException if nothing of it stays; @throws IOException if that is not known */
+    /** A write that can be repeated as a whole. */
+    private interface WriteOperation {
+        /** @throws RefusedException if the write has had no effect; @throws IOException if that is not known */
         void run() throws IOException;
     }
 
+    /** The disk has refused a write, which has had no effect. */
     private static final class RefusedException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -47,16 +48,16 @@
     private final Disk disk;
     private final DiskWriter writer;
     private final Executor loop;
-    /** Written before the first record where the disk is empty. */
-    private byte[] initial;
+    /** The snapshot to write before the first record if the disk is empty. */
+    private byte[] initialSnapshot;
 
-    /** What follows is used by the writer only, once it has begun. */
+    /** The fields from here on are used by the writer's thread only, once it has started. */
     private Disk.DiskFile file;
     private int slot;
     private long sequence;
     private int chain;
     private volatile long length;
-    private volatile boolean warned;
+    private volatile boolean refusalLogged;
 
     TallyStorage(Disk disk, DiskWriter writer, Executor loop) {
         this.disk = disk;
@@ -64,7 +65,7 @@
         this.loop = loop;
     }
 
-    /** @return what the newer whole slot holds; null where there is none: the disk is empty */
+    /** @return what the newest valid slot holds; null if there is none, since the disk is empty */
     Opened open() throws IOException {
         Slot newest = null;
         for (int i = 0; i < SLOTS; i++) {
@@ -92,7 +93,7 @@
         List<byte[]> records = new ArrayList<>();
         int chain = 0;
         long length = 0;
-        while (in.remaining() >= HEAD) {
+        while (in.remaining() >= HEADER_BYTES) {
             int size = in.getInt();
             int sum = in.getInt();
             if (size < 0 || size > in.remaining()) {
@@ -119,7 +120,7 @@
 
     private static int checksum(int chain, byte[] content) {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(HEAD).putInt(chain).putInt(content.length).flip());
+        crc.update(ByteBuffer.allocate(HEADER_BYTES).putInt(chain).putInt(content.length).flip());
         crc.update(content);
         return (int) crc.getValue();
     }
@@ -129,106 +130,106 @@
     }
 
     /**
-     * Makes what was read outlive a loss of power: a process that ended may have written without a sync.
+     * Makes what was read durable: a process that ended may have written without a sync.
      *
-     * @param snapshot written before the first record where the disk is empty
-     * @param done run on the loop
+     * @param snapshot written before the first record if the disk is empty
+     * @param done run on the event loop
      */
     void start(byte[] snapshot, Runnable done) {
-        initial = snapshot;
+        initialSnapshot = snapshot;
         if (file == null) {
             loop.execute(done);
             return;
         }
-        run(() -> {
+        submit(() -> {
             file.sync();
             disk.syncDirectory();
         }, stored -> done.run());
     }
 
-    /** How many bytes the slot in use holds. */
+    /** Returns the number of bytes in the current slot. */
     long length() {
         return length;
     }
 
-    /** Adds a record. @param ended told on the loop whether it is stored, or else refused */
+    /** Appends a record. @param ended receives on the event loop whether it is stored, or else refused */
     void append(byte[] record, Consumer<Boolean> ended) {
-        run(() -> {
+        submit(() -> {
             if (file == null) {
-                switchSlot(initial);
+                switchSlot(initialSnapshot);
             }
             write(file, length, chain, record);
             file.sync();
             chain = checksum(chain, record);
-            length += HEAD + record.length;
+            length += HEADER_BYTES + record.length;
         }, ended);
     }
 
-    /** Puts a snapshot in the place of all that was written. @param ended told on the loop whether it is stored */
+    /** Replaces everything written so far by a snapshot. @param ended receives on the event loop whether it is stored */
     void rewrite(byte[] snapshot, Consumer<Boolean> ended) {
-        run(() -> switchSlot(snapshot), ended);
+        submit(() -> switchSlot(snapshot), ended);
     }
 
     private static void write(Disk.DiskFile to, long position, int chainBefore, byte[] content) throws RefusedException {
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD + content.length);
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + content.length);
         bytes.putInt(content.length).putInt(checksum(chainBefore, content)).put(content).flip();
         try {
             to.write(position, bytes);
         } catch (IOException e) {
-            throw new RefusedException(e); // a part of it at most is there, and its checksum does not fit
+            throw new RefusedException(e); // at most a part of it was written, whose checksum does not match
         }
     }
 
     private void switchSlot(byte[] snapshot) throws IOException {
         int other = (slot + 1) % SLOTS;
         byte[] content = ByteBuffer.allocate(Long.BYTES + snapshot.length).putLong(sequence + 1).put(snapshot).array();
-        Disk.DiskFile fresh = cleared(other);
+        Disk.DiskFile newFile = openCleared(other);
         try {
-            write(fresh, 0, 0, content);
-            fresh.sync();
+            write(newFile, 0, 0, content);
+            newFile.sync();
             disk.syncDirectory();
         } catch (IOException e) {
-            fresh.close();
+            newFile.close();
             throw e;
         }
         if (file != null) {
             file.close();
         }
-        file = fresh;
+        file = newFile;
         slot = other;
         sequence++;
         chain = checksum(0, content);
-        length = HEAD + content.length;
+        length = HEADER_BYTES + content.length;
     }
 
-    private Disk.DiskFile cleared(int index) throws RefusedException {
+    private Disk.DiskFile openCleared(int index) throws RefusedException {
         try {
-            Disk.DiskFile fresh = disk.open(slotName(index));
-            fresh.truncate();
-            return fresh;
+            Disk.DiskFile newFile = disk.open(slotName(index));
+            newFile.truncate();
+            return newFile;
         } catch (IOException e) {
             throw new RefusedException(e);
         }
     }
 
-    private void run(Work work, Consumer<Boolean> ended) {
-        writer.execute(() -> runUntilKnown(work, ended));
+    private void submit(WriteOperation operation, Consumer<Boolean> ended) {
+        writer.execute(() -> retryUntilKnown(operation, ended));
     }
 
-    private void runUntilKnown(Work work, Consumer<Boolean> ended) {
+    private void retryUntilKnown(WriteOperation operation, Consumer<Boolean> ended) {
         boolean stored = false;
         try {
-            work.run();
+            operation.run();
             stored = true;
         } catch (RefusedException e) {
             warn(e);
         } catch (IOException e) {
             warn(e);
-            writer.executeAfter(RETRY_MS, () -> runUntilKnown(work, ended));
+            writer.executeAfter(RETRY_MS, () -> retryUntilKnown(operation, ended));
             return;
         }
-        if (stored && warned) {
-            warned = false;
+        if (stored && refusalLogged) {
+            refusalLogged = false;
             LOG.log(System.Logger.Level.INFO, "disk takes tallies again");
         }
         boolean result = stored;
@@ -236,9 +237,9 @@
     }
 
     private void warn(IOException e) {
-        if (!warned) {
+        if (!refusalLogged) {
             LOG.log(System.Logger.Level.WARNING, "disk refuses tallies: " + e.getMessage());
         }
-        warned = true;
+        refusalLogged = true;
     }
 }
--- a/src/main/java/routerfleet/control/TallyWriter.java
+++ b/src/main/java/routerfleet/control/TallyWriter.java
@@ -16,47 +16,49 @@
 import routerfleet.wire.Scheduler;
 
 /**
- * Puts adds, and entries of other nodes, on disk and then into the journal: all that waits goes into one record with one
- * sync. So the journal holds only what outlives a loss of power, and an own number is given away only once it is synced.
+ * Writes adds and entries of other nodes to disk and then to the journal; everything that waits goes into one record with
+ * one sync. So the journal holds only what survives a power loss, and no entry of this node is sent before its sync.
  */
 final class TallyWriter {
-    private static final int MOST_ADDS = 4_096;
-    private static final int MOST_ENTRIES = 16_384;
-    /** A disk whose write has not come back for so long is taken for one that hangs. */
-    private static final long STALLED_MS = 100;
-    private static final long LEAST_REWRITTEN_BYTES = 256 << 10;
+    private static final int MAX_WAITING_ADDS = 4_096;
+    private static final int MAX_WAITING_ENTRIES = 16_384;
+    /** A disk is considered to hang if a write takes longer than this. */
+    private static final long STALL_TIMEOUT_MS = 100;
+    private static final long MIN_COMPACTION_BYTES = 256 << 10;
 
     /**
      * An add that waits for the disk.
      *
-     * @param onWriteStarted run as its write begins
-     * @param onStored told its entry once it is in the journal
-     * @param onRefused run where nothing of it was done
+     * @param onWriteStarted run when its write starts
+     * @param onStored receives its entry once it is in the journal
+     * @param onRefused run if the add has had no effect
      */
-    record QueuedAdd(String tally, String uid, long amount, Runnable onWriteStarted, Consumer<JournalEntry> onStored, Runnable onRefused) { }
+    record QueuedAdd(String tally, String uid, long amount, Runnable onWriteStarted, Consumer<JournalEntry> onStored,
+            Runnable onRefused) { }
 
-    private record Foreign(List<JournalEntry> entries, Runnable stored) { }
+    /** Entries of other nodes that wait for the disk. */
+    private record RemoteEntries(List<JournalEntry> entries, Runnable onStored) { }
 
     private final Scheduler scheduler;
     private final TallyStorage storage;
     private final Journal journal;
-    private final TallyLimits bounds;
+    private final TallyLimits limits;
     private final Origin self;
     private final Consumer<List<JournalEntry>> ownStored;
     private Deque<QueuedAdd> adds = new ArrayDeque<>();
-    private Deque<Foreign> foreign = new ArrayDeque<>();
-    private int foreignEntries;
+    private Deque<RemoteEntries> remoteEntries = new ArrayDeque<>();
+    private int remoteEntryCount;
     private List<OriginState> bases;
-    private Runnable basesStored;
+    private Runnable onBasesStored;
     private boolean writing = true;
-    private long writes;
+    private long writeCount;
     private long writingSinceNanos;
     private long snapshotBytes;
 
-    /** @param ownStored told this node's new entries once they are in the journal */
-    TallyWriter(Scheduler scheduler, TallyStorage storage, Journal journal, TallyLimits bounds, Origin self,
+    /** @param ownStored receives this node's new entries once they are in the journal */
+    TallyWriter(Scheduler scheduler, TallyStorage storage, Journal journal, TallyLimits limits, Origin self,
             Consumer<List<JournalEntry>> ownStored) {
-        this.bounds = bounds;
+        this.limits = limits;
         this.scheduler = scheduler;
         this.storage = storage;
         this.journal = journal;
@@ -64,74 +66,80 @@
         this.ownStored = ownStored;
     }
 
-    /** Begins to write. @param ready run once what was read is known to be on disk */
+    /** Starts writing. @param ready run once what was read at the start is known to be on disk */
     void start(Runnable ready) {
         writingSinceNanos = scheduler.nanoTime();
         storage.start(JournalForm.storedState(self, journal.state()), () -> {
             writing = false;
             ready.run();
-            next();
+            startNextWrite();
         });
     }
 
-    /** Whether the disk hangs, or so much waits for it that nothing more is taken. */
+    /** Whether no more adds are accepted, because the disk hangs or too many wait for it. */
     boolean isStalled() {
-        boolean hangs = writing && scheduler.nanoTime() - writingSinceNanos > TimeUnit.MILLISECONDS.toNanos(STALLED_MS);
-        return hangs || adds.size() >= MOST_ADDS;
+        boolean hangs = writing
+                && scheduler.nanoTime() - writingSinceNanos > TimeUnit.MILLISECONDS.toNanos(STALL_TIMEOUT_MS);
+        return hangs || adds.size() >= MAX_WAITING_ADDS;
     }
 
+    /** Queues an add for the next write. */
     void add(QueuedAdd add) {
         adds.add(add);
-        next();
+        startNextWrite();
     }
 
-    /** Gives up an add. @return whether its write has not begun: nothing of it was done */
+    /** Cancels an add. @return whether its write had not started, so that it has no effect */
     boolean cancel(QueuedAdd add) {
         return adds.remove(add);
     }
 
-    /** Takes entries of other nodes. @param stored run once they are in the journal; not where they can't be taken now */
+    /**
+     * Accepts entries of other nodes.
+     *
+     * @param stored run once they are in the journal; not run if they can't be accepted now
+     */
     void merge(List<JournalEntry> entries, Runnable stored) {
-        boolean fits = journal.size() + foreignEntries + entries.size() <= bounds.maxEntriesForMerges();
-        if (foreignEntries + entries.size() <= MOST_ENTRIES && fits) {
-            foreign.add(new Foreign(entries, stored));
-            foreignEntries += entries.size();
-            next();
+        boolean fits = journal.size() + remoteEntryCount + entries.size() <= limits.maxEntriesForMerges();
+        if (remoteEntryCount + entries.size() <= MAX_WAITING_ENTRIES && fits) {
+            remoteEntries.add(new RemoteEntries(entries, stored));
+            remoteEntryCount += entries.size();
+            startNextWrite();
         }
     }
 
-    /** Takes another node's bases; those that come while others wait are dropped. */
-    void mergeBases(List<OriginState> told, Runnable stored) {
+    /** Accepts another node's bases. While others wait, further ones are dropped. */
+    void mergeBases(List<OriginState> received, Runnable stored) {
         if (bases == null) {
-            bases = told;
-            basesStored = stored;
-            next();
+            bases = received;
+            onBasesStored = stored;
+            startNextWrite();
         }
     }
 
-    private void next() {
+    private void startNextWrite() {
         if (writing) {
             return;
         }
         if (bases != null) {
             writeBases();
-        } else if (!adds.isEmpty() || !foreign.isEmpty()) {
+        } else if (!adds.isEmpty() || !remoteEntries.isEmpty()) {
             writeWaiting();
-        } else if (storage.length() > Math.max(LEAST_REWRITTEN_BYTES, 2 * snapshotBytes)) {
+        } else if (storage.length() > Math.max(MIN_COMPACTION_BYTES, 2 * snapshotBytes)) {
             rewrite(journal.state(), stored -> { });
         }
     }
 
     private void writeBases() {
-        List<OriginState> taken = bases;
-        Runnable stored = basesStored;
+        List<OriginState> takenBases = bases;
+        Runnable stored = onBasesStored;
         bases = null;
         Journal after = new Journal();
         after.merge(journal.state());
-        after.merge(taken);
+        after.merge(takenBases);
         rewrite(after.state(), done -> {
             if (done) {
-                journal.merge(taken);
+                journal.merge(takenBases);
                 stored.run();
             }
         });
@@ -142,40 +150,40 @@
         beginWrite();
         storage.rewrite(snapshot, done -> {
             writing = false;
-            snapshotBytes = done ? snapshot.length : storage.length(); // refused: not at once again
+            snapshotBytes = done ? snapshot.length : storage.length(); // if it failed, not again at once
             ended.accept(done);
-            next();
+            startNextWrite();
         });
     }
 
     private void beginWrite() {
         writing = true;
         writingSinceNanos = scheduler.nanoTime();
-        long write = ++writes;
+        long write = ++writeCount;
         scheduler.schedule(() -> {
-            if (writing && writes == write) {
-                refuseWaiting();
+            if (writing && writeCount == write) {
+                refuseWaitingAdds();
             }
-        }, STALLED_MS, TimeUnit.MILLISECONDS);
+        }, STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void refuseWaiting() {
+    private void refuseWaitingAdds() {
         Deque<QueuedAdd> refused = adds;
         adds = new ArrayDeque<>();
         refused.forEach(add -> add.onRefused().run());
     }
 
     private void writeWaiting() {
-        List<QueuedAdd> own = unknown();
-        List<Foreign> others = List.copyOf(foreign);
-        foreign = new ArrayDeque<>();
-        foreignEntries = 0;
+        List<QueuedAdd> own = takeUnknownAdds();
+        List<RemoteEntries> others = List.copyOf(remoteEntries);
+        remoteEntries = new ArrayDeque<>();
+        remoteEntryCount = 0;
         own.forEach(add -> add.onWriteStarted().run());
-        List<JournalEntry> ownEntries = numbered(own);
-        List<JournalEntry> all = new ArrayList<>(following(others));
+        List<JournalEntry> ownEntries = assignNumbers(own);
+        List<JournalEntry> all = new ArrayList<>(withoutGaps(others));
         all.addAll(ownEntries);
         if (all.isEmpty()) {
-            others.forEach(other -> other.stored().run());
+            others.forEach(other -> other.onStored().run());
             return;
         }
         beginWrite();
@@ -183,16 +191,19 @@
             writing = false;
             if (stored) {
                 all.forEach(journal::append);
-                taken(own, ownEntries, others);
+                notifyStored(own, ownEntries, others);
             } else {
                 own.forEach(add -> add.onRefused().run());
             }
-            next();
+            startNextWrite();
         });
     }
 
-    /** The adds that wait, but for those whose uid has come from another node meanwhile: these are held already. */
-    private List<QueuedAdd> unknown() {
+    /**
+     * Takes the waiting adds, except those whose uid has arrived from another node meanwhile: their entries are held
+     * already.
+     */
+    private List<QueuedAdd> takeUnknownAdds() {
         Deque<QueuedAdd> waiting = adds;
         adds = new ArrayDeque<>();
         List<QueuedAdd> own = new ArrayList<>();
@@ -208,17 +219,17 @@
         return own;
     }
 
-    private void taken(List<QueuedAdd> own, List<JournalEntry> ownEntries, List<Foreign> others) {
+    private void notifyStored(List<QueuedAdd> own, List<JournalEntry> ownEntries, List<RemoteEntries> others) {
         for (int i = 0; i < own.size(); i++) {
             own.get(i).onStored().accept(ownEntries.get(i));
         }
         if (!ownEntries.isEmpty()) {
             ownStored.accept(ownEntries);
         }
-        others.forEach(other -> other.stored().run());
+        others.forEach(other -> other.onStored().run());
     }
 
-    private List<JournalEntry> numbered(List<QueuedAdd> own) {
+    private List<JournalEntry> assignNumbers(List<QueuedAdd> own) {
         List<JournalEntry> entries = new ArrayList<>(own.size());
         long number = journal.last(self);
         for (QueuedAdd add : own) {
@@ -227,20 +238,20 @@
         return entries;
     }
 
-    /** Those entries that come next of their origins. */
-    private List<JournalEntry> following(List<Foreign> others) {
+    /** Returns the entries that follow without a gap on those of their origins. */
+    private List<JournalEntry> withoutGaps(List<RemoteEntries> others) {
         Map<Origin, Long> last = new HashMap<>();
-        List<JournalEntry> taken = new ArrayList<>();
-        for (Foreign other : others) {
+        List<JournalEntry> accepted = new ArrayList<>();
+        for (RemoteEntries other : others) {
             for (JournalEntry entry : other.entries()) {
                 long before = last.computeIfAbsent(entry.origin(), journal::last);
-                boolean fits = before > 0 || journal.origins() < bounds.maxOrigins();
+                boolean fits = before > 0 || journal.origins() < limits.maxOrigins();
                 if (entry.number() == before + 1 && fits && !entry.origin().equals(self)) {
-                    taken.add(entry);
+                    accepted.add(entry);
                     last.put(entry.origin(), entry.number());
                 }
             }
         }
-        return taken;
+        return accepted;
     }
 }
--- a/src/test/java/routerfleet/control/ConfigUpdateValidatorTest.java
+++ b/src/test/java/routerfleet/control/ConfigUpdateValidatorTest.java
@@ -14,11 +14,11 @@
 import routerfleet.config.ConfigDocument;
 import routerfleet.config.ConfigOrder;
 
-/** Documents that are merged beside the event loop. */
+/** Merging of documents outside the event loop. */
 class ConfigUpdateValidatorTest {
     private final Deque<Runnable> worker = new ArrayDeque<>();
-    private final ConfigUpdateValidator examiner = new ConfigUpdateValidator(worker::add, Runnable::run);
-    private final List<String> told = new ArrayList<>();
+    private final ConfigUpdateValidator validator = new ConfigUpdateValidator(worker::add, Runnable::run);
+    private final List<String> results = new ArrayList<>();
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -30,10 +30,11 @@
     }
 
     private void read(ConfigDocument document) {
-        examiner.merge(document, merged -> told.add(new String(merged, StandardCharsets.UTF_8)), () -> told.add("failed"));
+        validator.merge(document, merged -> results.add(new String(merged, StandardCharsets.UTF_8)),
+                () -> results.add("failed"));
     }
 
-    /** Guards the worker: a crowd of readers after a change costs one merge. */
+    /** Guards the worker: many readers after a change share one merge. */
     @Test
     void readersOfOneDocumentShareAMerge() {
         ConfigDocument document = patched("{\"generation\":1}");
@@ -42,33 +43,33 @@
         read(patched("{\"generation\":1,\"x\":3}"));
         assertThat(worker, hasSize(2));
         worker.poll().run();
-        assertThat(told, contains("{\"generation\":2}", "{\"generation\":2}"));
+        assertThat(results, contains("{\"generation\":2}", "{\"generation\":2}"));
         read(document);
-        assertThat("begun anew once told", worker, hasSize(2));
+        assertThat("a new merge once the first is complete", worker, hasSize(2));
     }
 
-    /** Guards memory, and readers: who would wait behind too many is told at once. */
+    /** Guards memory, and readers: those that would wait behind too many others fail at once. */
     @Test
-    void tooManyReadersAreTurnedAway() {
+    void tooManyReadersAreRejected() {
         ConfigDocument document = patched("{\"generation\":1}");
         for (int i = 0; i <= 1_024; i++) {
             read(document);
         }
-        assertThat(told, contains("failed"));
+        assertThat(results, contains("failed"));
         worker.poll().run();
-        assertThat(told, hasSize(1_025));
+        assertThat(results, hasSize(1_025));
         read(document);
-        assertThat("there is room again", worker, hasSize(1));
+        assertThat("readers are accepted again", worker, hasSize(1));
     }
 
-    /** Guards readers of a document that can't be read: each is told. */
+    /** Guards readers of a document that can't be merged: each of them is notified. */
     @Test
-    void aDocumentThatCantBeMergedIsToldToAll() {
+    void aFailedMergeIsReportedToAllReaders() {
         ConfigDocument document = patched("no JSON");
         read(document);
         read(document);
         worker.poll().run();
-        assertThat(told, contains("failed", "failed"));
+        assertThat(results, contains("failed", "failed"));
         assertThat(worker.isEmpty(), is(true));
     }
 }
--- a/src/test/java/routerfleet/control/ControlHttpTest.java
+++ b/src/test/java/routerfleet/control/ControlHttpTest.java
@@ -18,15 +18,17 @@
 import org.junit.jupiter.api.Test;
 import routerfleet.config.ConfigOrder;
 
-/** The order of answers on one connection, whatever comes in one segment and whoever is slower to answer. */
+/** Order of responses on one connection, however the requests are split into segments and however slow the handler is. */
 class ControlHttpTest {
-    private record Held(ControlHttp.Request request, Consumer<ControlHttp.Response> answer) { }
+    /** A request that the handler has received. */
+    private record ReceivedRequest(ControlHttp.Request request, Consumer<ControlHttp.Response> onResponse) { }
 
-    private final List<Held> held = new ArrayList<>();
+    private final List<ReceivedRequest> received = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel();
 
     ControlHttpTest() {
-        ControlHttp.install(channel.pipeline(), (request, answer) -> held.add(new Held(request, answer)));
+        ControlHttp.install(channel.pipeline(),
+                (request, onResponse) -> received.add(new ReceivedRequest(request, onResponse)));
     }
 
     private void receive(String bytes) {
@@ -42,82 +44,91 @@
         return all.toString();
     }
 
-    private void answer(int index, String body) {
-        held.get(index).answer().accept(new ControlHttp.Response(200, body.getBytes(StandardCharsets.US_ASCII)));
+    private void respond(int index, String body) {
+        received.get(index).onResponse().accept(new ControlHttp.Response(200, body.getBytes(StandardCharsets.US_ASCII)));
     }
 
     private static String get(String path) {
         return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n";
     }
 
-    /** Guards against answers that change places: the second request may not pass the first, in one segment or in two. */
+    /**
+     * Guards against responses in the wrong order: the second request must not be handled before the first, whether they
+     * arrive in one segment or two.
+     */
     @Test
     void aRequestIsHandledOnlyOnceTheOneBeforeItIsAnswered() {
         receive(get("/one") + get("/two"));
         receive(get("/three"));
-        assertThat(held, hasSize(1));
-        answer(0, "first");
-        assertThat(held, hasSize(2));
-        answer(1, "second");
-        answer(2, "third");
+        assertThat(received, hasSize(1));
+        respond(0, "first");
+        assertThat(received, hasSize(2));
+        respond(1, "second");
+        respond(2, "third");
         String all = sent();
         assertThat(all.indexOf("first"), is(greaterThan(-1)));
         assertThat(all.indexOf("first"), is(lessThan(all.indexOf("second"))));
         assertThat(all.indexOf("second"), is(lessThan(all.indexOf("third"))));
-        assertThat(held.get(1).request().path(), is("/two"));
+        assertThat(received.get(1).request().path(), is("/two"));
     }
 
-    /** Guards against orders that were held up: a caller that has gone no longer waits, though its request is in hand. */
+    /**
+     * Guards against delayed updates that take effect after their caller has left: a caller that has disconnected counts
+     * as gone while its request is being handled.
+     */
     @Test
-    void aCallerThatHasGoneDoesNotWait() {
+    void aCallerThatHasDisconnectedIsNoticed() {
         receive(get("/one"));
-        assertThat(held.get(0).request().callerConnected().getAsBoolean(), is(true));
+        assertThat(received.get(0).request().callerConnected().getAsBoolean(), is(true));
         channel.close();
-        assertThat(held.get(0).request().callerConnected().getAsBoolean(), is(false));
+        assertThat(received.get(0).request().callerConnected().getAsBoolean(), is(false));
     }
 
     @Test
     void anAnswerGivenTwiceIsSentOnce() {
         receive(get("/one") + get("/two"));
-        answer(0, "first");
-        answer(0, "again");
+        respond(0, "first");
+        respond(0, "again");
         assertThat(sent(), not(containsString("again")));
-        answer(1, "second");
+        respond(1, "second");
         assertThat(sent(), containsString("second"));
     }
 
     @Test
     void nothingIsHandledBehindTheRequestThatEndsTheConnection() {
         receive("GET /one HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + get("/two"));
-        answer(0, "first");
-        assertThat(held, hasSize(1));
+        respond(0, "first");
+        assertThat(received, hasSize(1));
         assertThat(channel.isOpen(), is(false));
     }
 
-    /** Guards what is acknowledged: what can't be kept is refused at once, with what it is and what may be. */
+    /**
+     * Guards against accepting a configuration that can't be stored: a body that is too large is rejected at once, with
+     * its size and the limit.
+     */
     @Test
     void aBodyThatIsTooLargeIsRefusedInItsTurnWithItsSize() {
         int length = ConfigOrder.MOST_BODY_BYTES + 1;
         receive(get("/one") + "POST /rowanplank/config/replace HTTP/1.1\r\nHost: a\r\nContent-Length: " + length
                 + "\r\n\r\n" + "x".repeat(1000));
         assertThat(sent(), is(""));
-        answer(0, "first");
+        respond(0, "first");
         String all = sent();
         assertThat(all.indexOf("first"), is(lessThan(all.indexOf("HTTP/1.1 413"))));
         assertThat(all, containsString(length + " bytes in a body, and at most " + ConfigOrder.MOST_BODY_BYTES));
-        assertThat(held, hasSize(1));
+        assertThat(received, hasSize(1));
     }
 
     @Test
-    void whatIsNoRequestIsRefusedInItsTurn() {
+    void aMalformedRequestIsRefusedInItsTurn() {
         receive(get("/one") + "no request\r\n\r\n");
         assertThat(sent(), is(""));
-        answer(0, "first");
+        respond(0, "first");
         assertThat(sent(), containsString("HTTP/1.1 400"));
     }
 
     @Test
-    void whoeverSendsManyAtOnceIsCutOff() {
+    void aClientThatSendsTooManyRequestsIsDisconnected() {
         receive(get("/one").repeat(80));
         assertThat(channel.isOpen(), is(false));
     }
--- a/src/test/java/routerfleet/control/EvacuationHistory.java
+++ b/src/test/java/routerfleet/control/EvacuationHistory.java
@@ -6,9 +6,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What operators ordered about evacuations, one order after the other for each zone, and whether a state fits that. */
+/**
+ * The requests that operators made about evacuations, one after the other for each zone, and whether a state that was
+ * read is consistent with them.
+ */
 final class EvacuationHistory {
-    /** An order; times are on the world's clock in nanoseconds. */
+    /** A request to start or end an evacuation; times are on the simulation's clock, in nanoseconds. */
     static final class Request {
         private final boolean start;
         private final long sentNanos;
@@ -32,49 +35,59 @@
         }
     }
 
-    private final Map<String, List<Request>> orders = new TreeMap<>();
+    private final Map<String, List<Request>> requests = new TreeMap<>();
 
+    /** Records that a request about a zone is sent for the first time. */
     Request recordRequest(String zone, boolean start, long nanos) {
-        Request order = new Request(start, nanos);
-        orders.computeIfAbsent(zone, z -> new ArrayList<>()).add(order);
-        return order;
+        Request request = new Request(start, nanos);
+        requests.computeIfAbsent(zone, z -> new ArrayList<>()).add(request);
+        return request;
     }
 
-    /** The last order about a zone, if it was acknowledged; else null: what holds is open. */
+    /** Returns the last request about a zone if it was acknowledged; else null, since the state is not determined. */
     Request lastAcknowledged(String zone) {
-        List<Request> all = orders.getOrDefault(zone, List.of());
+        List<Request> all = requests.getOrDefault(zone, List.of());
         Request last = all.isEmpty() ? null : all.get(all.size() - 1);
         return last == null || last.acknowledgedNanos == Long.MAX_VALUE ? null : last;
     }
 
+    /** Counts the requests that were acknowledged after a moment. */
     int acknowledged(long sinceNanos) {
-        return (int) orders.values().stream().flatMap(List::stream)
+        return (int) requests.values().stream().flatMap(List::stream)
                 .filter(o -> o.acknowledgedNanos != Long.MAX_VALUE && o.acknowledgedNanos > sinceNanos).count();
     }
 
-    /** Why a read state can't be; null where it can. @param asked when it was asked for, @param told when it was told */
-    String violation(Set<String> zones, long asked, long told) {
-        for (Map.Entry<String, List<Request>> of : orders.entrySet()) {
+    /**
+     * Returns why a state that was read is impossible; null if it is possible.
+     *
+     * @param sentNanos when the read was sent
+     * @param receivedNanos when its response arrived
+     */
+    String violation(Set<String> zones, long sentNanos, long receivedNanos) {
+        for (Map.Entry<String, List<Request>> of : requests.entrySet()) {
             boolean shown = zones.contains(of.getKey());
-            if (!possible(of.getValue(), asked, told).contains(shown)) {
+            if (!possibleStates(of.getValue(), sentNanos, receivedNanos).contains(shown)) {
                 return "zone " + of.getKey() + (shown ? " evacuated" : " not evacuated") + ", read from "
-                        + asked / 1_000_000 + " to " + told / 1_000_000 + " ms";
+                        + sentNanos / 1_000_000 + " to " + receivedNanos / 1_000_000 + " ms";
             }
         }
         return null;
     }
 
-    /** What holds after the last order acknowledged before the question, and what later ones may have made of it. */
-    private static List<Boolean> possible(List<Request> all, long asked, long told) {
-        List<Boolean> possible = new ArrayList<>(List.of(false));
-        for (Request order : all) {
-            if (order.acknowledgedNanos < asked) {
-                possible.clear();
+    /**
+     * Returns the possible states after the last request that was acknowledged before the read, including those that
+     * later requests may have led to.
+     */
+    private static List<Boolean> possibleStates(List<Request> all, long sentNanos, long receivedNanos) {
+        List<Boolean> possibleStates = new ArrayList<>(List.of(false));
+        for (Request request : all) {
+            if (request.acknowledgedNanos < sentNanos) {
+                possibleStates.clear();
             }
-            if (order.sentNanos <= told) {
-                possible.add(order.start);
+            if (request.sentNanos <= receivedNanos) {
+                possibleStates.add(request.start);
             }
         }
-        return possible;
+        return possibleStates;
     }
 }
