--- a/src/test/java/routerfleet/control/EvacuationSimulation.java
+++ b/src/test/java/routerfleet/control/EvacuationSimulation.java
@@ -17,9 +17,9 @@
 import routerfleet.wire.PeerCodec;
 
 /**
- * Operators who evacuate zones and take that back, in virtual time, over five control nodes with two data nodes: cuts in
- * one or both directions, kills, stand-stills, lost disks, a loss of power for all. What readers and data nodes see is
- * compared with {@link EvacuationHistory}.
+ * Simulates operators that start and end evacuations, in virtual time, with five control nodes and two data nodes.
+ * Injected faults: partitions in one or both directions, kills, pauses, lost disks, a power loss of all machines. What
+ * readers and data nodes see is checked against {@link EvacuationHistory}.
  */
 final class EvacuationSimulation {
     private static final PeerCodec CODEC = new PeerCodec();
@@ -32,7 +32,7 @@
     private static final long END_MS = 32_000;
     private static final long RESEND_MS = 5_000;
     private static final long CALM_MS = 3_000;
-    private static final long IN_FORCE_MS = 1_500;
+    private static final long EFFECT_MS = 1_500;
     private static final long CATCH_UP_MS = 5_000;
     private static final long MS = 1_000_000;
     private static final long DISK_MS = 2;
@@ -44,33 +44,34 @@
     private final SimulatedNetwork network;
     private final SimulatedHttp http;
     private final List<SimulatedMachine> machines = new ArrayList<>();
-    private final List<Node> nodes = new ArrayList<>();
-    private String wrong;
+    private final List<DataNodeMachine> nodes = new ArrayList<>();
+    private String violation;
     private int sequence;
-    private int troubles;
-    private boolean powerFailsAtNextAnswer;
-    private long wellSinceMs;
+    private int activeFaults;
+    private boolean powerFailsAtNextAck;
+    private long healthySinceMs;
     private long lastWipeMs = -CATCH_UP_MS;
 
-    /** A data node's machine. */
-    private final class Node {
+    /** A machine that runs a data node's control client. */
+    private final class DataNodeMachine {
         private final String ip;
         private VirtualProcess process;
         private ControlClientProbe client;
         private long startedMs;
 
-        Node(String ip) {
+        DataNodeMachine(String ip) {
             this.ip = ip;
         }
 
         void start() {
             startedMs = world.nowMs();
-            VirtualProcess life = new VirtualProcess(world, random.nextLong() >> 2, () -> { });
-            process = life;
+            VirtualProcess newProcess = new VirtualProcess(world, random.nextLong() >> 2, () -> { });
+            process = newProcess;
             LocalSettings settings = new LocalSettings("data-" + ip, ip, "c", null, null, null,
                     SimulatedMachine.INTERNAL_PORT, seeds(), true, null, SimulatedMachine.HEARTBEAT_MS,
                     CONTROL_NODES / 2, 0, ZONES, Bounds.defaults());
-            life.execute(() -> client = new ControlClientProbe(settings, life, network.of(ip, life), CODEC));
+            newProcess.execute(
+                    () -> client = new ControlClientProbe(settings, newProcess, network.of(ip, newProcess), CODEC));
         }
 
         void restart(long afterMs) {
@@ -92,7 +93,7 @@
                     ZONES), surroundings, random.nextLong()));
         }
         for (int i = 1; i <= DATA_NODES; i++) {
-            nodes.add(new Node("10.0.9." + i));
+            nodes.add(new DataNodeMachine("10.0.9." + i));
         }
     }
 
@@ -107,19 +108,19 @@
         world.afterMs(1_000, this::heartbeat);
     }
 
-    /** Plays it. @return the first thing that was wrong; null where nothing was */
+    /** Runs the simulation. @return the first violation; null if there was none */
     String run() {
         begin();
-        EVACUATED.forEach(zone -> world.afterMs(1_500 + random.nextInt(500), () -> order(zone)));
+        EVACUATED.forEach(zone -> world.afterMs(1_500 + random.nextInt(500), () -> sendNextRequest(zone)));
         world.afterMs(1_500, this::read);
         world.afterMs(1_500, this::check);
-        world.afterMs(FAULTS_FROM_MS, this::strike);
+        world.afterMs(FAULTS_FROM_MS, this::injectFault);
         world.runUntilMs(END_MS);
-        if (wrong == null && history.acknowledged((END_MS - RESEND_MS) * MS) == 0) {
-            wrong = "nothing is acknowledged after the recovery: "
+        if (violation == null && history.acknowledged((END_MS - RESEND_MS) * MS) == 0) {
+            violation = "nothing is acknowledged after the recovery: "
                     + machines.stream().map(SimulatedMachine::describe).toList();
         }
-        return wrong;
+        return violation;
     }
 
     int acknowledged() {
@@ -127,27 +128,28 @@
     }
 
     /**
-     * An order is held up on its way from a follower to the leader, and comes through after later ones.
+     * Runs a scenario in which a request is delayed on its way from a follower to the leader, and arrives after later
+     * ones.
      *
-     * @param earlier orders about a zone, true for a start, that are acknowledged before it
-     * @param heldUp the order
-     * @param later orders that are acknowledged while it is held up
-     * @param cutNanos when the way is cut, after the follower is called
-     * @return whether the zone is evacuated in the end
+     * @param earlier requests about a zone, true for a start, that are acknowledged before it
+     * @param delayed the delayed request
+     * @param later requests that are acknowledged during the delay
+     * @param cutNanos when the connection is cut, after the follower was called, in nanoseconds
+     * @return whether the zone is evacuated at the end
      */
-    boolean evacuatedAfterDelayedRequest(List<Boolean> earlier, boolean heldUp, List<Boolean> later, long cutNanos) {
+    boolean evacuatedAfterDelayedRequest(List<Boolean> earlier, boolean delayed, List<Boolean> later, long cutNanos) {
         begin();
         world.runUntilMs(2_500);
         SimulatedMachine leader = machines.stream().filter(m -> m.service().group().isLeader()).findFirst().orElseThrow();
         SimulatedMachine follower = machines.stream().filter(m -> m != leader).findFirst().orElseThrow();
         earlier.forEach(start -> acknowledged(leader, start));
-        boolean[] waits = {true};
+        boolean[] callerConnected = {true};
         ControlHttp.Handler handler = follower.handler();
-        follower.process().execute(() -> handler.handle(new ControlHttp.Request("POST", path("a", heldUp), null,
-                new byte[0], () -> waits[0]), answer -> { }));
+        follower.process().execute(() -> handler.handle(new ControlHttp.Request("POST", path("a", delayed), null,
+                new byte[0], () -> callerConnected[0]), response -> { }));
         world.after(cutNanos, () -> network.cut(follower.ip, leader.ip));
         world.runUntilMs(world.nowMs() + 100);
-        waits[0] = false;
+        callerConnected[0] = false;
         later.forEach(start -> acknowledged(leader, start));
         network.heal(follower.ip, leader.ip);
         world.runUntilMs(world.nowMs() + 3_000);
@@ -157,7 +159,7 @@
     private void acknowledged(SimulatedMachine machine, boolean start) {
         int[] status = {0};
         String request = SimulatedHttp.request("POST", path("a", start), "", "");
-        http.call(machine, request, answer -> status[0] = answer.status());
+        http.call(machine, request, response -> status[0] = response.status());
         world.runUntilMs(world.nowMs() + 100);
         if (status[0] != 200) {
             throw new IllegalStateException("not acknowledged: " + status[0]);
@@ -175,7 +177,7 @@
             if (machine.handler() != null) {
                 ControlHttp.Handler handler = machine.handler();
                 machine.process().execute(() -> handler.handle(new ControlHttp.Request("POST", path, base,
-                        body.getBytes(StandardCharsets.UTF_8)), answer -> { }));
+                        body.getBytes(StandardCharsets.UTF_8)), response -> { }));
             }
         }
     }
@@ -189,47 +191,47 @@
         world.afterMs(SimulatedMachine.HEARTBEAT_MS, this::heartbeat);
     }
 
-    private SimulatedMachine any() {
+    private SimulatedMachine randomMachine() {
         return machines.get(random.nextInt(machines.size()));
     }
 
-    /** Gives the next order about a zone, most often the opposite of the last one. */
-    private void order(String zone) {
+    /** Sends the next request about a zone, in most cases the opposite of the last one. */
+    private void sendNextRequest(String zone) {
         EvacuationHistory.Request last = history.lastAcknowledged(zone);
         boolean opposite = random.nextInt(5) > 0;
         boolean start = last == null ? random.nextBoolean() : last.start() != opposite;
         send(zone, history.recordRequest(zone, start, world.nowNanos()), world.nowMs() + RESEND_MS);
     }
 
-    private void send(String zone, EvacuationHistory.Request order, long untilMs) {
-        http.call(any(), SimulatedHttp.request("POST", path(zone, order.start()), "", ""), answer -> {
-            if (answer.status() == 200) {
-                order.acknowledged(world.nowNanos());
+    private void send(String zone, EvacuationHistory.Request request, long untilMs) {
+        http.call(randomMachine(), SimulatedHttp.request("POST", path(zone, request.start()), "", ""), response -> {
+            if (response.status() == 200) {
+                request.acknowledged(world.nowNanos());
                 losePowerIfPlanned();
             }
-            if (answer.status() != 200 && world.nowMs() < untilMs) {
-                world.afterMs(20 + random.nextInt(100), () -> send(zone, order, untilMs));
+            if (response.status() != 200 && world.nowMs() < untilMs) {
+                world.afterMs(20 + random.nextInt(100), () -> send(zone, request, untilMs));
             } else {
-                world.afterMs(50 + random.nextInt(random.nextInt(3) == 0 ? 5_000 : 600), () -> order(zone));
+                world.afterMs(50 + random.nextInt(random.nextInt(3) == 0 ? 5_000 : 600), () -> sendNextRequest(zone));
             }
         });
     }
 
     private void read() {
-        long asked = world.nowNanos();
-        http.call(any(), SimulatedHttp.request("GET", "/rowanplank/evacuations/get", "", ""), answer -> {
-            if (answer.status() == 200) {
+        long sentNanos = world.nowNanos();
+        http.call(randomMachine(), SimulatedHttp.request("GET", "/rowanplank/evacuations/get", "", ""), response -> {
+            if (response.status() == 200) {
                 Set<String> zones = new TreeSet<>();
-                EVACUATED.stream().filter(zone -> answer.body().contains("\"" + zone + "\"")).forEach(zones::add);
-                found(history.violation(zones, asked, world.nowNanos()));
+                EVACUATED.stream().filter(zone -> response.body().contains("\"" + zone + "\"")).forEach(zones::add);
+                reportViolation(history.violation(zones, sentNanos, world.nowNanos()));
             }
         });
         world.afterMs(30 + random.nextInt(100), this::read);
     }
 
-    private void found(String fault) {
-        if (wrong == null) {
-            wrong = fault;
+    private void reportViolation(String fault) {
+        if (violation == null) {
+            violation = fault;
         }
     }
 
@@ -237,105 +239,105 @@
 
     private void check() {
         long now = world.nowMs();
-        if (troubles > 0 || !machines.stream().allMatch(SimulatedMachine::isHealthy)) {
-            wellSinceMs = now;
+        if (activeFaults > 0 || !machines.stream().allMatch(SimulatedMachine::isHealthy)) {
+            healthySinceMs = now;
         }
-        for (Node node : nodes) {
+        for (DataNodeMachine node : nodes) {
             EVACUATED.forEach(zone -> check(node, zone, now));
         }
         world.afterMs(50, this::check);
     }
 
-    private void check(Node node, String zone, long now) {
-        EvacuationHistory.Request order = history.lastAcknowledged(zone);
-        if (order == null || node.client == null) {
+    private void check(DataNodeMachine node, String zone, long now) {
+        EvacuationHistory.Request request = history.lastAcknowledged(zone);
+        if (request == null || node.client == null) {
             return;
         }
-        long settledMs = order.acknowledgedNanos() / MS;
-        boolean calm = now - Math.max(wellSinceMs, node.startedMs) > CALM_MS && now - settledMs > IN_FORCE_MS;
+        long settledMs = request.acknowledgedNanos() / MS;
+        boolean calm = now - Math.max(healthySinceMs, node.startedMs) > CALM_MS && now - settledMs > EFFECT_MS;
         boolean startedSince = node.startedMs > settledMs && node.client.mayServe();
         boolean used = node.client.isListed("s-" + zone);
-        if (order.start() && used && (calm || startedSince)) {
-            found(node.ip + " uses the server in " + zone + " " + (now - settledMs) + " ms after its evacuation, at "
-                    + now);
-        } else if (!order.start() && !used && calm) {
-            found(node.ip + " does not use the server in " + zone + " " + (now - settledMs) + " ms after the end, at "
-                    + now);
+        if (request.start() && used && (calm || startedSince)) {
+            reportViolation(node.ip + " uses the server in " + zone + " " + (now - settledMs)
+                    + " ms after its evacuation, at " + now);
+        } else if (!request.start() && !used && calm) {
+            reportViolation(node.ip + " does not use the server in " + zone + " " + (now - settledMs)
+                    + " ms after the end, at " + now);
         }
     }
 
     // ---- faults
 
-    private void strike() {
+    private void injectFault() {
         if (world.nowMs() >= FAULTS_TO_MS) {
             return;
         }
-        SimulatedMachine machine = any();
-        long forMs = 200 + random.nextInt(3_000);
+        SimulatedMachine machine = randomMachine();
+        long durationMs = 200 + random.nextInt(3_000);
         switch (random.nextInt(8)) {
-            case 0 -> cut(machine.ip, any().ip, forMs);
-            case 1 -> machines.forEach(other -> cut(machine.ip, other.ip, forMs));
-            case 2 -> nodes.forEach(node -> cut(node.ip, machine.ip, forMs));
-            case 3 -> down(machine, machine::kill, forMs);
+            case 0 -> cut(machine.ip, randomMachine().ip, durationMs);
+            case 1 -> machines.forEach(other -> cut(machine.ip, other.ip, durationMs));
+            case 2 -> nodes.forEach(node -> cut(node.ip, machine.ip, durationMs));
+            case 3 -> takeDown(machine, machine::kill, durationMs);
             case 4 -> {
                 machine.freeze();
-                after(forMs, machine::unfreeze);
+                after(durationMs, machine::unfreeze);
             }
-            case 5 -> wipe(machine, forMs);
+            case 5 -> wipe(machine, durationMs);
             case 6 -> nodes.get(random.nextInt(DATA_NODES)).restart(300);
             default -> {
-                powerFailsAtNextAnswer = random.nextBoolean();
+                powerFailsAtNextAck = random.nextBoolean();
                 machines.forEach(each -> each.diskLatencyMs(SLOW_DISK_MS));
-                after(forMs, () -> machines.forEach(each -> each.diskLatencyMs(DISK_MS)));
+                after(durationMs, () -> machines.forEach(each -> each.diskLatencyMs(DISK_MS)));
             }
         }
-        world.afterMs(200 + random.nextInt(1_600), this::strike);
+        world.afterMs(200 + random.nextInt(1_600), this::injectFault);
     }
 
-    /** All machines lose power in the moment in which an order is acknowledged. */
+    /** Makes all machines lose power at the moment when a request is acknowledged, if that is planned. */
     private void losePowerIfPlanned() {
-        if (powerFailsAtNextAnswer) {
-            powerFailsAtNextAnswer = false;
-            machines.forEach(machine -> down(machine, machine::losePower, 800));
+        if (powerFailsAtNextAck) {
+            powerFailsAtNextAck = false;
+            machines.forEach(machine -> takeDown(machine, machine::losePower, 800));
         }
     }
 
-    private void after(long forMs, Runnable end) {
-        troubles++;
-        world.afterMs(forMs, () -> {
-            troubles--;
+    private void after(long durationMs, Runnable end) {
+        activeFaults++;
+        world.afterMs(durationMs, () -> {
+            activeFaults--;
             end.run();
         });
     }
 
-    private void cut(String from, String to, long forMs) {
+    private void cut(String from, String to, long durationMs) {
         if (from.equals(to)) {
             return;
         }
         int ways = random.nextInt(3);
         if (ways < 2) {
             network.cut(from, to);
-            after(forMs, () -> network.heal(from, to));
+            after(durationMs, () -> network.heal(from, to));
         }
         if (ways > 0) {
             network.cut(to, from);
-            after(forMs, () -> network.heal(to, from));
+            after(durationMs, () -> network.heal(to, from));
         }
     }
 
-    private void down(SimulatedMachine machine, Runnable fault, long forMs) {
+    private void takeDown(SimulatedMachine machine, Runnable fault, long durationMs) {
         fault.run();
-        after(forMs, () -> {
+        after(durationMs, () -> {
             machine.restorePower();
             machine.start(false, seeds());
         });
     }
 
-    /** One disk at a time, and the next only once the group has made up for it. */
-    private void wipe(SimulatedMachine machine, long forMs) {
+    /** Wipes a disk, one at a time, and the next one only after the group had time to recover. */
+    private void wipe(SimulatedMachine machine, long durationMs) {
         if (world.nowMs() - lastWipeMs > CATCH_UP_MS + 3_200) {
             lastWipeMs = world.nowMs();
-            down(machine, machine::wipe, forMs);
+            takeDown(machine, machine::wipe, durationMs);
         }
     }
 }
--- a/src/test/java/routerfleet/control/EvacuationTest.java
+++ b/src/test/java/routerfleet/control/EvacuationTest.java
@@ -19,17 +19,17 @@
 import routerfleet.demo.LoopbackFleet;
 import routerfleet.demo.LoopbackHttp;
 
-/** Evacuations at the control nodes' HTTP interface, over restarts and lost disks. */
+/** Evacuations through the control nodes' HTTP interface, including restarts and lost disks. */
 class EvacuationTest {
-    private static final int MOST_WAIT_S = 30;
+    private static final int MAX_WAIT_S = 30;
 
     @TempDir
-    private Path folder;
+    private Path directory;
     private LoopbackFleet fleet;
 
     @BeforeEach
     void start() throws IOException {
-        fleet = new LoopbackFleet(folder, 3);
+        fleet = new LoopbackFleet(directory, 3);
         assertThat(fleet.order("replace", 0, Configurations.whole(3)), is(200));
     }
 
@@ -43,39 +43,39 @@
                 body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Calls again while there is no clear answer, as operators do. */
-    private LoopbackHttp.Answer clear(int number, String method, String path) throws IOException {
-        LoopbackHttp.Answer answer = call(number, method, path, "");
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
-        while (answer.status() == 503 && System.nanoTime() - end < 0) {
-            answer = call(number, method, path, "");
+    /** Repeats a call while its outcome is unknown, as operators do. */
+    private LoopbackHttp.Answer callUntilKnown(int number, String method, String path) throws IOException {
+        LoopbackHttp.Answer response = call(number, method, path, "");
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
+        while (response.status() == 503 && System.nanoTime() - end < 0) {
+            response = call(number, method, path, "");
         }
-        return answer;
+        return response;
     }
 
-    private void order(int number, String path) throws IOException {
-        assertThat(path + " at " + number, clear(number, "POST", path).status(), is(200));
+    private void send(int number, String path) throws IOException {
+        assertThat(path + " at " + number, callUntilKnown(number, "POST", path).status(), is(200));
     }
 
     private String zones(int number) throws IOException {
-        String body = clear(number, "GET", "get").body();
+        String body = callUntilKnown(number, "GET", "get").body();
         return body.substring(body.indexOf('['), body.indexOf(']') + 1);
     }
 
     @Test
-    void startsAndStopsAtEveryNodeAndAsOftenAsItIsSent() throws IOException {
+    void startsAndStopsAtEveryNodeAndRepeatedly() throws IOException {
         for (int i = 1; i <= 3; i++) {
-            order(i, "a/start");
+            send(i, "a/start");
         }
-        assertThat(clear(2, "GET", "get").body(), containsString("\"zones\":[\"a\"]}"));
+        assertThat(callUntilKnown(2, "GET", "get").body(), containsString("\"zones\":[\"a\"]}"));
         for (int i = 3; i >= 1; i--) {
-            order(i, "a/stop");
+            send(i, "a/stop");
         }
-        assertThat(clear(3, "GET", "get").body(), containsString("\"zones\":[]}"));
+        assertThat(callUntilKnown(3, "GET", "get").body(), containsString("\"zones\":[]}"));
     }
 
     @Test
-    void whatIsNoCallAboutAnEvacuationIsToldSo() throws IOException {
+    void invalidCallsAreRejected() throws IOException {
         assertThat(call(1, "POST", "b/start", "").status(), is(404));
         assertThat(call(1, "POST", "b/start", "").body(), containsString("no such zone: b"));
         assertThat(call(1, "POST", "b/stop", "").status(), is(404));
@@ -90,21 +90,21 @@
         assertThat(zones(1), is("[]"));
     }
 
-    /** Guards configurations: an evacuation is none, and changes neither the document nor its number. */
+    /** Guards configurations: an evacuation changes neither the document nor its generation. */
     @Test
-    void theConfigurationStaysAsItIs() throws IOException {
+    void theConfigurationIsUnchanged() throws IOException {
         String before = fleet.configuration(1).body();
-        order(1, "a/start");
+        send(1, "a/start");
         assertThat(fleet.configuration(1).body(), is(before));
         assertThat(fleet.order("patch", 3, "{\"generation\":4,\"delete\":{\"routes\":[\"drafts\"]}}"), is(200));
         assertThat(fleet.configuration(1).body(), is(not(before)));
         assertThat(zones(1), is("[\"a\"]"));
     }
 
-    /** Guards LOST: what was acknowledged stands after all nodes have crashed at once. */
+    /** Guards the rule LOST: acknowledged evacuations survive a simultaneous crash of all nodes. */
     @Test
-    void anEvacuationOutlivesACrashOfAllNodes() throws IOException {
-        order(2, "a/start");
+    void anEvacuationSurvivesACrashOfAllNodes() throws IOException {
+        send(2, "a/start");
         for (int i = 1; i <= 3; i++) {
             fleet.crashControl(i);
         }
@@ -114,27 +114,27 @@
         assertThat(zones(3), is("[\"a\"]"));
     }
 
-    /** Guards LOST: what was acknowledged stands while one disk after the other is lost. */
+    /** Guards the rule LOST: acknowledged evacuations survive the loss of one disk after the other. */
     @Test
-    void anEvacuationOutlivesLostDisks() throws IOException {
-        order(1, "a/start");
+    void anEvacuationSurvivesLostDisks() throws IOException {
+        send(1, "a/start");
         for (int i = 1; i <= 3; i++) {
             fleet.crashControl(i);
             fleet.wipe(i);
             fleet.startControl(i, false);
             assertThat(zones(i), is("[\"a\"]"));
-            order(i, "a/stop");
-            order(i, "a/start");
+            send(i, "a/stop");
+            send(i, "a/start");
         }
     }
 
-    /** Guards LOST: what only one disk would hold is not acknowledged, and the caller is told when to come back. */
+    /** Guards the rule LOST: what only one disk would hold is not acknowledged, and the response says when to retry. */
     @Test
-    void withoutAMajorityNothingIsAcknowledged() throws IOException {
+    void nothingIsAcknowledgedWithoutAMajority() throws IOException {
         fleet.crashControl(2);
         fleet.crashControl(3);
-        LoopbackHttp.Answer answer = call(1, "POST", "a/start", "");
-        assertThat(answer.status(), is(503));
-        assertThat(answer.header("Retry-After"), is(not(nullValue())));
+        LoopbackHttp.Answer response = call(1, "POST", "a/start", "");
+        assertThat(response.status(), is(503));
+        assertThat(response.header("Retry-After"), is(not(nullValue())));
     }
 }
--- a/src/test/java/routerfleet/control/FaultyTallyStorage.java
+++ b/src/test/java/routerfleet/control/FaultyTallyStorage.java
@@ -8,7 +8,7 @@
 import routerfleet.wire.JournalForm;
 import routerfleet.wire.PeerCodec;
 
-/** A journal of tallies on disk with a planted fault. */
+/** A tally storage with an injected fault. */
 final class FaultyTallyStorage extends TallyStorage {
     private final InjectedFault fault;
     private final Executor loop;
--- a/src/test/java/routerfleet/control/HeartbeatJsonTest.java
+++ b/src/test/java/routerfleet/control/HeartbeatJsonTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import routerfleet.wire.SessionRecord;
 
-/** Heartbeats as servers send them. */
+/** Parsing of heartbeats. */
 class HeartbeatJsonTest {
     private static Either<String, SessionRecord> read(String body) {
         return HeartbeatJson.read("i-1", body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void whatIsKnownIsReadAndTheRestPassedOver() {
+    void unknownFieldsAreIgnored() {
         SessionRecord read = read("{\"backend\":\"llm\",\"models\":[{\"name\":\"m\",\"loras\":[]}],"
                 + "\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"generation\":\"v1\","
                 + "\"capacity\":32,\"phase\":\"draining\",\"warmup_left_ms\":1.5,"
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatIsAbsentHasItsDefault() {
+    void absentFieldsHaveDefaults() {
         assertThat(read("{\"backend\":\"llm\",\"address\":\"10.0.0.1:80\",\"zone\":null}").get(),
                 is(new SessionRecord("i-1", "llm", "10.0.0.1:80", "", 0, SessionRecord.Phase.READY, 0, 0)));
     }
@@ -37,7 +37,7 @@
         "{\"backend\":[],\"address\":\"10.0.0.1:80\"}", "{\"backend\":\"llm\",\"address\":\"x\"}",
         "{\"backend\":\"llm\",\"address\":\"10.0.0.1:80\",\"sequence\":\"x\"}",
         "{\"backend\":\"llm\",\"address\":\"10.0.0.1:80\",\"sequence\":99999999999999999999}"})
-    void whatIsNoHeartbeatIsOneLine(String body) {
+    void aMalformedHeartbeatIsReportedInOneLine(String body) {
         assertThat(read(body).getLeft(), containsString("heartbeat"));
     }
 }
--- a/src/test/java/routerfleet/control/QuotaGrantorTest.java
+++ b/src/test/java/routerfleet/control/QuotaGrantorTest.java
@@ -10,7 +10,7 @@
 import routerfleet.wire.PeerMessage;
 import routerfleet.wire.PeerMessage.QuotaVerdict;
 
-/** One control node's parts of tenants' limits. */
+/** One control node's shares of the tenants' limits. */
 class QuotaGrantorTest {
     private static final Bounds BOUNDS = new Bounds(null, null, null, null, null, null, null, null, null, null, null, null,
             8.0, 0.0, 0.0, null, null, null, null);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void startsEmptyAndFillsAtItsPartOfTheRate() {
+    void startsEmptyAndFillsAtItsShareOfTheRate() {
         grantor.configure(List.of(TENANT), THREE, 0);
         assertThat(ask(1, 0, 0).verdict(), is(QuotaVerdict.DENIED));
         assertThat(ask(30, 0, 100).verdict(), is(QuotaVerdict.GRANTED));
@@ -47,14 +47,14 @@
     }
 
     @Test
-    void grantsNothingOnceItIsNoReplica() {
+    void grantsNothingOnceItIsNoLongerAReplica() {
         grantor.configure(List.of(TENANT), THREE, 0);
         grantor.configure(List.of(TENANT), List.of("b", "c", "d"), 5_000);
         assertThat(ask(1, 0, 5_000).verdict(), is(QuotaVerdict.NOT_HERE));
     }
 
     @Test
-    void aPartThatIsTakenOverWhileTheNodeRunsFillsOnceItsFormerHolderHasStopped() {
+    void aShareTakenOverFillsOnceItsFormerHolderHasStopped() {
         grantor.configure(List.of(TENANT), List.of("b", "c", "d"), 0);
         grantor.configure(List.of(TENANT), THREE, 1_000);
         long stopped = 1_000 + QuotaGrantor.LEASE_MS;
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aNodeThatJoinsWithAnEmptyDiskWaitsForItsPartsFormerHolder() {
+    void aNodeThatJoinsWithAnEmptyDiskWaitsForTheFormerHolderOfItsShare() {
         grantor.configure(List.of(), List.of(), 0);
         grantor.configure(List.of(TENANT), THREE, 1_000);
         long stopped = 1_000 + QuotaGrantor.LEASE_MS;
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aPartGrowsOnlyOnceTheHolderThatLeftHasStopped() {
+    void aShareGrowsOnlyOnceTheHolderThatLeftHasStopped() {
         grantor.configure(List.of(TENANT), THREE, 0);
         assertThat(ask(100, 0, 1_000).verdict(), is(QuotaVerdict.GRANTED));
         grantor.configure(List.of(TENANT), List.of("a", "b"), 1_000);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aPartThatIsTakenOverStartsEmptyAndOneThatIsKeptGoesOn() {
+    void aShareTakenOverStartsEmptyAndOneThatIsKeptKeepsItsLevel() {
         grantor.configure(List.of(TENANT), THREE, 0);
         grantor.configure(List.of(TENANT), List.of("a", "b"), 1_000);
         assertThat(ask(60, 0, 1_000).verdict(), is(QuotaVerdict.GRANTED));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aRequestLargerThanTheBucketGoesOnceItIsFullAndLeavesADebt() {
+    void aRequestLargerThanTheBucketIsGrantedOnceItIsFullAndLeavesADebt() {
         grantor.configure(List.of(TENANT), THREE, 0);
         assertThat(ask(250, 0, 300).verdict(), is(QuotaVerdict.DENIED));
         assertThat(ask(250, 0, 400).verdict(), is(QuotaVerdict.GRANTED));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aLowerLimitHoldsFromItsConfigurationOn() {
+    void aLowerLimitAppliesAtOnce() {
         grantor.configure(List.of(TENANT), THREE, 0);
         grantor.configure(List.of(tenant(30)), THREE, 1_000);
         for (int i = 0; i < 10; i++) {
@@ -119,12 +119,12 @@
         assertThat(ask(10, 0, 2_000).verdict(), is(QuotaVerdict.GRANTED));
     }
 
-    /** Guards a tenant's other requests: one that names an absurd size must not spoil the bucket for them. */
+    /** Guards a tenant's other requests: one with an invalid size must not corrupt the bucket. */
     @Test
-    void sizesThatAreNoNumbersLeaveTheBucketAsItWas() {
+    void invalidSizesLeaveTheBucketUnchanged() {
         grantor.configure(List.of(TENANT), THREE, 0);
-        for (double absurd : new double[] {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1}) {
-            assertThat(ask(absurd, 0, 100).verdict(), is(QuotaVerdict.NOT_HERE));
+        for (double invalid : new double[] {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1}) {
+            assertThat(ask(invalid, 0, 100).verdict(), is(QuotaVerdict.NOT_HERE));
         }
         assertThat(ask(30, 0, 100).verdict(), is(QuotaVerdict.GRANTED));
         ask(Double.MAX_VALUE, 0, 200);
--- a/src/test/java/routerfleet/control/SessionServiceTest.java
+++ b/src/test/java/routerfleet/control/SessionServiceTest.java
@@ -23,21 +23,22 @@
 import routerfleet.wire.PeerNetwork;
 import routerfleet.wire.SessionRecord;
 
-/** What a control node tells another one that it holds. */
+/** Acknowledgement of heartbeats and of sessions from other control nodes. */
 class SessionServiceTest {
     private final PeerCodec codec = new PeerCodec();
     private final VirtualProcess process = new VirtualProcess(new VirtualWorld(), 0, () -> { });
     private final SessionTable table = new SessionTable(1_000);
     private final Deque<Runnable> disk = new ArrayDeque<>();
-    private boolean dataNodesAreThere = true;
+    private boolean dataNodesPresent = true;
     private final ControlPeers peers = new ControlPeers("10.0.0.1", 7_001);
     private final SessionService service = new SessionService(process, table, peers,
-            holders -> holders.size() > 1 && peers.spanZones(holders, "a", 2), () -> dataNodesAreThere, () -> { }, disk::add);
+            holders -> holders.size() > 1 && peers.spanZones(holders, "a", 2), () -> dataNodesPresent, () -> { }, disk::add);
     private final List<PeerMessage> sent = new ArrayList<>();
-    private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, new Unheard(), new Wire());
+    private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, new IgnoringListener(),
+            new RecordingCarrier());
 
-    /** Keeps what is sent. */
-    private final class Wire implements PeerLink.Carrier {
+    /** Records sent messages. */
+    private final class RecordingCarrier implements PeerLink.Carrier {
         @Override
         public boolean isOpen() {
             return true;
@@ -59,29 +60,29 @@
 
         @Override
         public void close() {
-            // nothing to give back
+            // nothing to release
         }
     }
 
-    /** Nothing comes in here. */
-    private static final class Unheard implements PeerLink.Listener {
+    /** Ignores events of a connection. */
+    private static final class IgnoringListener implements PeerLink.Listener {
         @Override
         public void opened(PeerLink opened) {
-            // nobody waits for it
+            // ignored
         }
 
         @Override
         public void received(PeerLink from, PeerMessage message) {
-            // nothing comes
+            // ignored
         }
 
         @Override
         public void closed(PeerLink closed) {
-            // nobody waits for it
+            // ignored
         }
     }
 
-    /** Connects to nobody. */
+    /** A network without other nodes. */
     private static final class NoNetwork implements PeerNetwork {
         @Override
         public Connection connect(HostPort address, LinkTiming timing, PeerLink.Listener listener, Runnable ended) {
@@ -90,7 +91,7 @@
 
         @Override
         public Listener listen(HostPort address, LinkTiming timing, Supplier<PeerLink.Listener> listeners) {
-            throw new UnsupportedOperationException("nobody listens");
+            throw new UnsupportedOperationException("no listening in this test");
         }
     }
 
@@ -98,18 +99,18 @@
         return new SessionRecord(uid, "llm", "10.0.0.9:80", "a", 12, phase, 9, 0);
     }
 
-    /** Guards what was acknowledged against a loss of power for all. */
+    /** Guards against acknowledging an end that a power loss at all nodes could undo. */
     @Test
-    void anEndIsToldAsHeldOnceItIsOnDisk() {
+    void anEndIsAcknowledgedOnceItIsOnDisk() {
         service.received(link, new PeerMessage.Sessions(7, List.of(server("a", SessionRecord.Phase.DRAINING))));
         assertThat(sent, empty());
         disk.poll().run();
         assertThat(sent, contains(new PeerMessage.SessionsAck(7)));
     }
 
-    /** Guards an acknowledgement that would rest on a table with no room for it. */
+    /** Guards against acknowledging a session for which the table has no space. */
     @Test
-    void whatAFullTableDoesNotTakeIsNotToldAsHeld() {
+    void aSessionThatAFullTableRejectsIsNotAcknowledged() {
         for (int i = 0; i < SessionTable.MAX_SESSIONS; i++) {
             table.merge(server("s" + i, SessionRecord.Phase.READY), 0);
         }
@@ -129,39 +130,42 @@
         return statuses.isEmpty() ? 0 : statuses.get(0);
     }
 
-    /** Guards the servers of a side that is cut off: data nodes there would lose them all. */
+    /**
+     * Guards ready servers in a partition: if their heartbeats were refused, the data nodes on that side would lose all
+     * of them.
+     */
     @Test
-    void heartbeatsOfReadyServersAreTakenWhereTooFewControlNodesAreConnected() {
+    void heartbeatsOfReadyServersAreAcceptedWithTooFewControlNodesConnected() {
         assertThat(heartbeat("a", "ready"), is(200));
         assertThat(table.find("a").phase(), is(SessionRecord.Phase.READY));
     }
 
-    /** Guards DRAIN: what one side alone knows of an end is no promise. */
+    /** Guards the rule DRAIN: an end that only one side of a partition knows must not be acknowledged. */
     @Test
-    void noEndIsAcknowledgedWhereTooFewControlNodesAreConnected() {
+    void noEndIsAcknowledgedWithTooFewControlNodesConnected() {
         heartbeat("a", "ready");
         assertThat(heartbeat("a", "draining"), is(503));
         assertThat(heartbeat("a", "ready"), is(503));
     }
 
-    /** Guards servers against staying with a control node that can tell nobody of them. */
+    /** Guards servers against staying with a control node that can pass their heartbeats on to no one. */
     @Test
-    void aControlNodeThatReachesNobodySendsServersOn() {
-        dataNodesAreThere = false;
+    void aControlNodeWithoutConnectionsRefusesHeartbeats() {
+        dataNodesPresent = false;
         assertThat(heartbeat("a", "ready"), is(503));
         assertThat(table.find("a").phase(), is(SessionRecord.Phase.READY));
     }
 
     private void introduce(String ip, String zone) {
-        peers.onHello(new PeerLink(codec, process, LinkTiming.CONTROL, new Unheard(), new Wire()),
+        peers.onHello(new PeerLink(codec, process, LinkTiming.CONTROL, new IgnoringListener(), new RecordingCarrier()),
                 new PeerMessage.ControlHello("core", ip, zone, ip + "/0", List.of()), process.nanoTime());
         peers.outgoingOpened(ip, link);
     }
 
-    /** Guards DRAIN against the loss of a zone: copies in one zone are lost together. */
+    /** Guards the rule DRAIN: copies in a single zone could be lost together. */
     @Test
     void anEndIsAcknowledgedOnlyOnceItIsHeldInMoreZonesThanMayBeLost() {
-        peers.start(new PeerDialer(process, new NoNetwork(), LinkTiming.CONTROL, address -> new Unheard()));
+        peers.start(new PeerDialer(process, new NoNetwork(), LinkTiming.CONTROL, address -> new IgnoringListener()));
         introduce("10.0.0.2", "a");
         introduce("10.0.0.3", "b");
         List<Integer> statuses = new ArrayList<>();
@@ -173,10 +177,10 @@
         assertThat(statuses, contains(200));
     }
 
-    /** Guards acknowledgements where a disk hangs: those of enough others will do. */
+    /** Guards acknowledgements while this node's disk hangs: copies at enough other nodes suffice. */
     @Test
     void anEndThatEnoughOthersHoldIsAcknowledgedWithoutTheDiskHere() {
-        peers.start(new PeerDialer(process, new NoNetwork(), LinkTiming.CONTROL, address -> new Unheard()));
+        peers.start(new PeerDialer(process, new NoNetwork(), LinkTiming.CONTROL, address -> new IgnoringListener()));
         introduce("10.0.0.2", "a");
         introduce("10.0.0.3", "b");
         List<Integer> statuses = new ArrayList<>();
--- a/src/test/java/routerfleet/control/SessionStorageTest.java
+++ b/src/test/java/routerfleet/control/SessionStorageTest.java
@@ -14,13 +14,13 @@
 import routerfleet.wire.PeerCodec;
 import routerfleet.wire.SessionRecord;
 
-/** The servers last known, on a disk that loses its power. */
+/** Storage of the known sessions on a disk that loses power. */
 class SessionStorageTest {
     private final PeerCodec codec = new PeerCodec();
     private VirtualWorld world;
     private VirtualProcess process;
     private SimulatedDisk disk;
-    private SessionStorage hints;
+    private SessionStorage storage;
     private List<SessionRecord> servers = List.of();
 
     @BeforeEach
@@ -32,8 +32,8 @@
 
     private void restart() {
         process = new VirtualProcess(world, 0, () -> disk.losePower());
-        hints = new SessionStorage(disk, new SimulatedDisk.Writer(world, process), process, codec);
-        hints.setSource(() -> servers);
+        storage = new SessionStorage(disk, new SimulatedDisk.Writer(world, process), process, codec);
+        storage.setSource(() -> servers);
     }
 
     private static SessionRecord server(String uid) {
@@ -42,28 +42,30 @@
 
     private void write(SessionRecord... current) {
         servers = List.of(current);
-        hints.saveIfChanged();
+        storage.saveIfChanged();
         world.runUntilMs(world.nowMs() + 100);
     }
 
     @Test
-    void whatWasWrittenLastIsReadAfterALossOfPower() {
-        assertThat(hints.read(), is(empty()));
+    void theLastWrittenListIsReadAfterAPowerLoss() {
+        assertThat(storage.read(), is(empty()));
         write(server("a"));
         write(server("a"), server("b"));
         write(server("b"));
         disk.losePower();
         restart();
-        assertThat(hints.read(), is(List.of(server("b"))));
+        assertThat(storage.read(), is(List.of(server("b"))));
         write(server("c"));
         disk.losePower();
         restart();
-        assertThat(hints.read(), is(List.of(server("c"))));
+        assertThat(storage.read(), is(List.of(server("c"))));
     }
 
-    /** Guards the list before: whatever a loss of power leaves of a write, one whole list is read. */
+    /**
+     * Guards the previous list: after a power loss during a write, either the previous or the new list is read, complete.
+     */
     @Test
-    void aTornWriteLeavesTheOneBefore() {
+    void aTornWriteLeavesThePreviousList() {
         for (int operations = 0; operations < 6; operations++) {
             for (long seed = 0; seed < 50; seed++) {
                 disk = new SimulatedDisk(new Random(seed), false, false);
@@ -74,14 +76,14 @@
                 write(server("c"));
                 disk.losePower();
                 restart();
-                List<SessionRecord> read = hints.read();
+                List<SessionRecord> read = storage.read();
                 assertThat(operations + "/" + seed + ": " + read,
                         read.equals(List.of(server("a"), server("b"))) || read.equals(List.of(server("c"))), is(true));
             }
         }
     }
 
-    /** Guards the disk: the same servers are not written again and again, and a full disk is tried again. */
+    /** Guards against needless writes: an unchanged list is not written again, and a write to a full disk is retried. */
     @Test
     void onlyChangesAreWritten() {
         write(server("a"));
@@ -94,45 +96,47 @@
         disk.setFull(false);
         write(server("b"));
         restart();
-        assertThat(hints.read(), is(List.of(server("b"))));
+        assertThat(storage.read(), is(List.of(server("b"))));
     }
 
-    /** Guards an acknowledgement: it waits for a write that began after the change, also behind one that is under way. */
+    /**
+     * Guards acknowledgements: they wait for a write that began after the change, also if another write is in progress.
+     */
     @Test
-    void whatIsToldAsKeptIsOnDisk() {
-        List<String> told = new ArrayList<>();
+    void whatIsReportedAsSavedIsOnDisk() {
+        List<String> saved = new ArrayList<>();
         servers = List.of(server("a"));
-        hints.save(() -> told.add("a"));
+        storage.save(() -> saved.add("a"));
         servers = List.of(server("a"), server("b"));
-        hints.save(() -> told.add("b"));
-        assertThat(told, is(empty()));
+        storage.save(() -> saved.add("b"));
+        assertThat(saved, is(empty()));
         world.runUntilMs(world.nowMs() + 3);
-        assertThat(told, is(List.of("a")));
+        assertThat(saved, is(List.of("a")));
         world.runUntilMs(world.nowMs() + 100);
-        assertThat(told, is(List.of("a", "b")));
+        assertThat(saved, is(List.of("a", "b")));
         disk.losePower();
         restart();
-        assertThat(hints.read(), is(List.of(server("a"), server("b"))));
+        assertThat(storage.read(), is(List.of(server("a"), server("b"))));
     }
 
     @Test
-    void whatADiskRefusesIsNotToldAsKept() {
-        List<String> told = new ArrayList<>();
+    void aFailedWriteIsNotReportedAsSaved() {
+        List<String> saved = new ArrayList<>();
         write(server("a"));
         disk.setFull(true);
         servers = List.of(server("b"));
-        hints.save(() -> told.add("b"));
+        storage.save(() -> saved.add("b"));
         world.runUntilMs(world.nowMs() + 100);
-        assertThat(told, is(empty()));
+        assertThat(saved, is(empty()));
         disk.setFull(false);
-        hints.save(() -> told.add("again"));
+        storage.save(() -> saved.add("again"));
         world.runUntilMs(world.nowMs() + 100);
-        assertThat(told, is(List.of("again")));
+        assertThat(saved, is(List.of("again")));
     }
 
-    /** Guards the list before: a write that the disk refused is tried again in its slot, and not over the whole one. */
+    /** Guards the previous list: a failed write is repeated in its own slot, and not over the valid one. */
     @Test
-    void aRefusedWriteLeavesTheOtherSlotAlone() {
+    void aFailedWriteLeavesTheOtherSlotUnchanged() {
         for (int operations = 0; operations < 6; operations++) {
             for (long seed = 0; seed < 20; seed++) {
                 disk = new SimulatedDisk(new Random(seed), false, false);
@@ -146,7 +150,7 @@
                 write(server("d"));
                 disk.losePower();
                 restart();
-                List<SessionRecord> read = hints.read();
+                List<SessionRecord> read = storage.read();
                 assertThat(operations + "/" + seed + ": " + read,
                         read.equals(List.of(server("b"))) || read.equals(List.of(server("d"))), is(true));
             }
--- a/src/test/java/routerfleet/control/SessionTableTest.java
+++ b/src/test/java/routerfleet/control/SessionTableTest.java
@@ -14,9 +14,9 @@
 import routerfleet.wire.SessionRecord;
 import routerfleet.wire.SessionRecord.Phase;
 
-/** Session tables that merge to the same in any order. */
+/** Merging, expiry and change tracking of session tables. */
 class SessionTableTest {
-    private static final long BEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
     private static SessionRecord record(String uid, Phase phase, long sequence) {
         return new SessionRecord(uid, "llm", "127.0.0.1:80", "a", 8, phase, sequence, 0);
@@ -53,46 +53,50 @@
     }
 
     @Test
-    void aSilentServerIsToldAsNotLiveAndComesBackWithItsNextHeartbeat() {
+    void aSilentServerIsNotLiveUntilItsNextHeartbeat() {
         SessionTable table = new SessionTable(1_000);
         table.merge(record("s", Phase.READY, 1), 0);
-        long told = table.revision();
-        assertThat(table.expire(3 * BEAT_NANOS), is(false));
-        assertThat(table.expire(4 * BEAT_NANOS), is(true));
-        assertThat(table.changesAfter(told).get(0).live(), is(false));
-        assertThat(table.merge(record("s", Phase.READY, 2), 5 * BEAT_NANOS), is(true));
-        assertThat(table.changesAfter(told).get(0).live(), is(true));
+        long reportedRevision = table.revision();
+        assertThat(table.expire(3 * HEARTBEAT_NANOS), is(false));
+        assertThat(table.expire(4 * HEARTBEAT_NANOS), is(true));
+        assertThat(table.changesAfter(reportedRevision).get(0).live(), is(false));
+        assertThat(table.merge(record("s", Phase.READY, 2), 5 * HEARTBEAT_NANOS), is(true));
+        assertThat(table.changesAfter(reportedRevision).get(0).live(), is(true));
     }
 
     @Test
-    void onlyWhatHasChangedIsTold() {
+    void onlyChangesAreReported() {
         SessionTable table = new SessionTable(1_000);
         table.merge(record("s", Phase.READY, 1), 0);
         table.merge(record("t", Phase.READY, 1), 0);
-        long told = table.revision();
+        long reportedRevision = table.revision();
         table.merge(record("s", Phase.READY, 2), 0);
-        assertThat(table.changesAfter(told), is(empty()));
+        assertThat(table.changesAfter(reportedRevision), is(empty()));
         table.merge(record("t", Phase.DRAINING, 2), 0);
-        assertThat(table.changesAfter(told), hasSize(1));
+        assertThat(table.changesAfter(reportedRevision), hasSize(1));
     }
 
     private static SessionRecord warming(long sequence, long leftMs) {
         return new SessionRecord("s", "llm", "127.0.0.1:80", "a", 8, Phase.READY, sequence, leftMs);
     }
 
-    /** Guards FAILBACK: data nodes hear at once of a server that turns cold, and once only of one warm-up. */
+    /**
+     * Guards the rule FAILBACK: data nodes are notified at once of a server that turns cold, and only once of each
+     * warm-up.
+     */
     @Test
-    void aServerThatTurnsColdIsToldAtOnce() {
+    void aServerThatTurnsColdIsReportedAtOnce() {
         SessionTable table = new SessionTable(1_000);
         table.merge(warming(1, 3_000), 0);
-        assertThat("as it was told", table.merge(warming(2, 2_000), BEAT_NANOS), is(false));
-        assertThat("on its way for longer", table.merge(warming(3, 990), 2 * BEAT_NANOS + BEAT_NANOS / 20), is(false));
-        assertThat("warm", table.merge(warming(4, 0), 4 * BEAT_NANOS), is(false));
-        long told = table.revision();
-        assertThat("cold again", table.merge(warming(5, 3_000), 5 * BEAT_NANOS), is(true));
-        assertThat(table.changesAfter(told).get(0).session().warmupLeftMs(), is(3_000L));
-        assertThat("colder", table.merge(warming(6, 2_500), 6 * BEAT_NANOS), is(true));
-        assertThat("an earlier heartbeat", table.merge(warming(4, 9_000), 6 * BEAT_NANOS), is(false));
-        assertThat("warm much sooner", table.merge(warming(7, 0), 7 * BEAT_NANOS), is(true));
+        assertThat("as reported before", table.merge(warming(2, 2_000), HEARTBEAT_NANOS), is(false));
+        assertThat("longer in transit", table.merge(warming(3, 990), 2 * HEARTBEAT_NANOS + HEARTBEAT_NANOS / 20),
+                is(false));
+        assertThat("warm", table.merge(warming(4, 0), 4 * HEARTBEAT_NANOS), is(false));
+        long reportedRevision = table.revision();
+        assertThat("cold again", table.merge(warming(5, 3_000), 5 * HEARTBEAT_NANOS), is(true));
+        assertThat(table.changesAfter(reportedRevision).get(0).session().warmupLeftMs(), is(3_000L));
+        assertThat("colder", table.merge(warming(6, 2_500), 6 * HEARTBEAT_NANOS), is(true));
+        assertThat("an earlier heartbeat", table.merge(warming(4, 9_000), 6 * HEARTBEAT_NANOS), is(false));
+        assertThat("warm much sooner", table.merge(warming(7, 0), 7 * HEARTBEAT_NANOS), is(true));
     }
 }
--- a/src/test/java/routerfleet/control/SimulatedHttp.java
+++ b/src/test/java/routerfleet/control/SimulatedHttp.java
@@ -14,19 +14,22 @@
 import routerfleet.simulation.VirtualProcess;
 import routerfleet.simulation.VirtualWorld;
 
-/** Calls of operators and servers: a byte pipe to the real HTTP side of a control service, in virtual time. */
+/**
+ * Sends HTTP requests of operators and servers to the real HTTP handlers of a control service, over a simulated byte
+ * stream in virtual time.
+ */
 final class SimulatedHttp {
     private static final long TIMEOUT_MS = 1_000;
     private static final String HEAD_END = "\r\n\r\n";
-    /** A segment that a cut has swallowed may come through again up to so much later. */
-    private static final int MOST_RETRANSMISSION_MS = 8_000;
+    /** A segment lost in a network partition may be retransmitted up to this much later. */
+    private static final int MAX_RETRANSMISSION_MS = 8_000;
 
-    /** Whether something gets from one place to another: callers' places and machines' addresses. */
+    /** Which locations of callers and addresses of machines can send to each other. */
     interface Links {
         boolean canReach(String from, String to);
     }
 
-    /** An answer; status 0 where none came in time. */
+    /** A response; status 0 if none arrived in time. */
     record Response(int status, String body) {
         static final Response NONE = new Response(0, "");
     }
@@ -34,23 +37,23 @@
     private final VirtualWorld world;
     private final Random random;
     private final InjectedFault fault;
-    private final Links ways;
-    private double lostAnswers;
+    private final Links links;
+    private double droppedFraction;
 
     SimulatedHttp(VirtualWorld world, long seed, InjectedFault fault) {
         this(world, seed, fault, (from, to) -> true);
     }
 
-    SimulatedHttp(VirtualWorld world, long seed, InjectedFault fault, Links ways) {
-        this.ways = ways;
+    SimulatedHttp(VirtualWorld world, long seed, InjectedFault fault, Links links) {
+        this.links = links;
         this.fault = fault;
         this.world = world;
         random = new Random(seed);
     }
 
-    /** So large a part of the answers is lost from now on. */
-    void dropResponses(double part) {
-        lostAnswers = part;
+    /** Drops this fraction of the responses from now on. */
+    void dropResponses(double fraction) {
+        droppedFraction = fraction;
     }
 
     static String request(String method, String path, String headers, String body) {
@@ -58,27 +61,31 @@
                 + body;
     }
 
-    /** Sends requests in one segment. @param answers given as many answers as requests were sent, in their order */
-    void call(SimulatedMachine machine, List<String> requests, Consumer<List<Response>> answers) {
-        Call call = new Call(requests.size(), answers);
+    /**
+     * Sends requests in one segment.
+     *
+     * @param onResponses receives as many responses as requests were sent, in their order
+     */
+    void call(SimulatedMachine machine, List<String> requests, Consumer<List<Response>> onResponses) {
+        Call call = new Call(requests.size(), onResponses);
         world.afterMs(TIMEOUT_MS, call::finish);
         world.afterMs(1 + random.nextInt(2), () -> deliver(machine, String.join("", requests), call));
     }
 
-    /** Sends one request from a place; what a cut swallows on its way may come through later. */
-    void callFrom(String place, SimulatedMachine machine, String request, Consumer<Response> answer) {
-        Call call = new Call(1, answers -> answer.accept(answers.get(0)));
-        call.place = place;
+    /** Sends one request from a location; if a partition drops it, it may arrive later. */
+    void callFrom(String location, SimulatedMachine machine, String request, Consumer<Response> onResponse) {
+        Call call = new Call(1, responses -> onResponse.accept(responses.get(0)));
+        call.location = location;
         world.afterMs(TIMEOUT_MS, call::finish);
-        world.afterMs(1 + random.nextInt(2), () -> deliverFrom(place, machine, request, call));
+        world.afterMs(1 + random.nextInt(2), () -> deliverIfReachable(location, machine, request, call));
     }
 
-    private void deliverFrom(String place, SimulatedMachine machine, String request, Call call) {
-        if (ways.canReach(place, machine.ip)) {
+    private void deliverIfReachable(String location, SimulatedMachine machine, String request, Call call) {
+        if (links.canReach(location, machine.ip)) {
             deliver(machine, request, call);
         } else if (random.nextInt(3) == 0) {
-            world.afterMs(1 + random.nextInt(MOST_RETRANSMISSION_MS), () -> {
-                if (ways.canReach(place, machine.ip)) {
+            world.afterMs(1 + random.nextInt(MAX_RETRANSMISSION_MS), () -> {
+                if (links.canReach(location, machine.ip)) {
                     deliver(machine, request, call);
                 }
             });
@@ -86,40 +93,41 @@
     }
 
     /** Sends one request. */
-    void call(SimulatedMachine machine, String request, Consumer<Response> answer) {
-        call(machine, List.of(request), answers -> answer.accept(answers.get(0)));
+    void call(SimulatedMachine machine, String request, Consumer<Response> onResponse) {
+        call(machine, List.of(request), responses -> onResponse.accept(responses.get(0)));
     }
 
     private void deliver(SimulatedMachine machine, String bytes, Call call) {
         VirtualProcess process = machine.process();
         if (machine.handler() == null) {
             if (machine.isUp()) {
-                call.finish(); // nobody listens yet: refused
+                call.finish(); // nothing listens yet: connection refused
             }
             return;
         }
         ControlHttp.Handler handler = machine.handler();
         process.execute(() -> {
             EmbeddedChannel channel = new EmbeddedChannel();
-            channel.pipeline().addLast(new Pipe(call, process, machine.ip));
+            channel.pipeline().addLast(new ResponsePipe(call, process, machine.ip));
             fault.install(channel.pipeline(), handler);
             channel.writeInbound(Unpooled.copiedBuffer(bytes, StandardCharsets.US_ASCII));
-            call.whenGivenUp(() -> process.execute(channel::close));
+            call.onGivingUp(() -> process.execute(channel::close));
         });
     }
 
+    /** Requests on one connection, and the responses received so far. */
     private final class Call {
         private final int expected;
-        private final Consumer<List<Response>> answers;
+        private final Consumer<List<Response>> onResponses;
         private final StringBuilder received = new StringBuilder();
-        private String place = "";
-        private boolean over;
+        private String location = "";
+        private boolean finished;
         private boolean givenUp;
         private Runnable close = () -> { };
 
-        Call(int expected, Consumer<List<Response>> answers) {
+        Call(int expected, Consumer<List<Response>> onResponses) {
             this.expected = expected;
-            this.answers = answers;
+            this.onResponses = onResponses;
         }
 
         void received(String bytes) {
@@ -129,8 +137,8 @@
             }
         }
 
-        /** Who gives up closes its connection; what comes later than that is followed by the end of its connection. */
-        void whenGivenUp(Runnable closing) {
+        /** Sets what closes the connection when the caller gives up; runs it at once if the caller already has. */
+        void onGivingUp(Runnable closing) {
             if (givenUp) {
                 closing.run();
             } else {
@@ -163,8 +171,8 @@
         }
 
         void finish() {
-            if (!over) {
-                over = true;
+            if (!finished) {
+                finished = true;
                 List<Response> all = new ArrayList<>(read());
                 if (all.size() < expected) {
                     givenUp = true;
@@ -173,20 +181,20 @@
                 while (all.size() < expected) {
                     all.add(Response.NONE);
                 }
-                answers.accept(all);
+                onResponses.accept(all);
             }
         }
     }
 
-    /** Takes what the pipeline writes, and lets it reach the client, or be lost. */
-    private final class Pipe extends ChannelOutboundHandlerAdapter {
+    /** Passes what the pipeline writes on to the client, or drops it. */
+    private final class ResponsePipe extends ChannelOutboundHandlerAdapter {
         private final Call call;
         private final VirtualProcess process;
         private final String ip;
-        private long arrives;
-        private boolean lost;
+        private long arrivalMs;
+        private boolean dropped;
 
-        Pipe(Call call, VirtualProcess process, String ip) {
+        ResponsePipe(Call call, VirtualProcess process, String ip) {
             this.call = call;
             this.process = process;
             this.ip = ip;
@@ -197,10 +205,10 @@
             if (message instanceof ByteBuf bytes) {
                 String text = bytes.toString(StandardCharsets.US_ASCII);
                 bytes.release();
-                lost |= random.nextDouble() < lostAnswers || !ways.canReach(ip, call.place);
-                if (process.isAlive() && !lost) {
-                    arrives = Math.max(arrives, world.nowMs() + 1 + random.nextInt(2));
-                    world.afterMs(arrives - world.nowMs(), () -> call.received(text));
+                dropped |= random.nextDouble() < droppedFraction || !links.canReach(ip, call.location);
+                if (process.isAlive() && !dropped) {
+                    arrivalMs = Math.max(arrivalMs, world.nowMs() + 1 + random.nextInt(2));
+                    world.afterMs(arrivalMs - world.nowMs(), () -> call.received(text));
                 }
             }
             promise.setSuccess();
--- a/src/test/java/routerfleet/control/TallyCampaign.java
+++ b/src/test/java/routerfleet/control/TallyCampaign.java
@@ -7,15 +7,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Many {@link TallySimulation}s, one after the other on each of so many threads. Arguments: tolerated losses, first seed,
- * count, threads, and a planted fault where there is to be one; or {@code trace}, tolerated losses and a seed; or
- * {@code planted} and most runs. Prints what was found, with the fewest faults that bring it about.
+ * Runs many {@link TallySimulation}s on a number of threads. Arguments: tolerated losses, first seed, count, threads, and
+ * optionally an injected fault; or {@code trace}, tolerated losses and a seed; or {@code planted} and the maximum number
+ * of runs. Prints the violations found, and for the first {@value #MAX_MINIMIZED} of them a minimal set of faults that
+ * causes them.
  */
 final class TallyCampaign {
-    private static final int MOST_SHRUNK = 3;
+    private static final int MAX_MINIMIZED = 3;
 
-    /** Faults of the disk itself, which strike tallies too. */
-    private static final Set<InjectedFault> OF_DISKS =
+    /** Faults of the disk itself, which affect tallies too. */
+    private static final Set<InjectedFault> DISK_FAULTS =
             EnumSet.of(InjectedFault.SYNC_DOES_NOTHING, InjectedFault.FOLDER_IS_NOT_SYNCED);
 
     private TallyCampaign() { }
@@ -26,18 +27,18 @@
             return;
         }
         if (arguments[0].equals("planted")) {
-            findPlanted(Integer.parseInt(arguments[1]));
+            findInjectedFaults(Integer.parseInt(arguments[1]));
             return;
         }
         int tolerated = Integer.parseInt(arguments[0]);
         long first = Long.parseLong(arguments[1]);
         int count = Integer.parseInt(arguments[2]);
         InjectedFault fault = arguments.length > 4 ? InjectedFault.valueOf(arguments[4]) : InjectedFault.NONE;
-        AtomicInteger broken = new AtomicInteger();
+        AtomicInteger failures = new AtomicInteger();
         AtomicLong next = new AtomicLong(first);
         Thread[] all = IntStream.range(0, Integer.parseInt(arguments[3])).mapToObj(i -> new Thread(() -> {
             for (long seed = next.getAndIncrement(); seed < first + count; seed = next.getAndIncrement()) {
-                play(seed, tolerated, fault, broken);
+                runSeed(seed, tolerated, fault, failures);
             }
         })).toArray(Thread[]::new);
         for (Thread thread : all) {
@@ -47,58 +48,63 @@
             thread.join();
         }
         System.out.println(count + " runs that tolerate " + tolerated + " losses, from seed " + first + ", fault " + fault
-                + ": " + broken + " broken");
-        System.exit(broken.get() == 0 ? 0 : 1);
+                + ": " + failures + " broken");
+        System.exit(failures.get() == 0 ? 0 : 1);
     }
 
-    /** Says of each planted fault in which run it is found first. @param most runs of three nodes, then of five */
-    private static void findPlanted(int most) {
+    /**
+     * Prints for each injected fault the first run that detects it.
+     *
+     * @param maxRuns maximum number of runs with three nodes, and then with five
+     */
+    private static void findInjectedFaults(int maxRuns) {
         for (InjectedFault fault : InjectedFault.values()) {
-            if (fault.isTallyFault() || OF_DISKS.contains(fault)) {
-                String found = found(fault, 1, most);
-                System.out.println(fault + " | " + (found != null ? found : found(fault, 2, most)));
+            if (fault.isTallyFault() || DISK_FAULTS.contains(fault)) {
+                String detection = firstDetection(fault, 1, maxRuns);
+                System.out.println(fault + " | " + (detection != null ? detection : firstDetection(fault, 2, maxRuns)));
             }
         }
     }
 
-    private static String found(InjectedFault fault, int tolerated, int most) {
-        for (int seed = 1; seed <= most; seed++) {
-            String wrong = wrong(seed, tolerated, TallySimulation.plan(seed), fault);
-            if (wrong != null && wrong(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE) == null) {
-                return (2 * tolerated + 1) + " nodes, run " + seed + ": " + wrong;
+    private static String firstDetection(InjectedFault fault, int tolerated, int maxRuns) {
+        for (int seed = 1; seed <= maxRuns; seed++) {
+            String violation = violation(seed, tolerated, TallySimulation.plan(seed), fault);
+            if (violation != null && violation(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE) == null) {
+                return (2 * tolerated + 1) + " nodes, run " + seed + ": " + violation;
             }
         }
         return null;
     }
 
-    private static void play(long seed, int tolerated, InjectedFault fault, AtomicInteger broken) {
+    private static void runSeed(long seed, int tolerated, InjectedFault fault, AtomicInteger failures) {
         TallyFaultPlan plan = TallySimulation.plan(seed);
-        String wrong = wrong(seed, tolerated, plan, fault);
-        if (wrong == null) {
+        String violation = violation(seed, tolerated, plan, fault);
+        if (violation == null) {
             return;
         }
-        System.out.println("seed " + seed + ": " + wrong);
-        if (broken.incrementAndGet() <= MOST_SHRUNK) {
-            TallyFaultPlan fewest = shrunk(seed, tolerated, plan, fault);
-            System.out.println("seed " + seed + " still with: " + wrong(seed, tolerated, fewest, fault) + "\n  "
-                    + fewest.faults());
+        System.out.println("seed " + seed + ": " + violation);
+        if (failures.incrementAndGet() <= MAX_MINIMIZED) {
+            TallyFaultPlan minimal = minimize(seed, tolerated, plan, fault);
+            System.out.println("seed " + seed + " still with: " + violation(seed, tolerated, minimal, fault) + "\n  "
+                    + minimal.faults());
         }
     }
 
-    /** Shows one run with the fewest faults that break it, and when each struck and ended. */
+    /** Prints one run with a minimal set of faults that makes it fail, and when each fault began and ended. */
     private static void trace(int tolerated, long seed) {
-        TallyFaultPlan fewest = shrunk(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE);
-        fewest.faults().forEach(System.out::println);
-        TallySimulation simulation = new TallySimulation(seed, tolerated, fewest, InjectedFault.NONE);
-        String wrong = String.valueOf(simulation.run());
-        System.out.println(wrong);
-        simulation.history().adds.stream().filter(a -> wrong.contains(" " + a + " ") || wrong.contains(" " + a + ","))
+        TallyFaultPlan minimal = minimize(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE);
+        minimal.faults().forEach(System.out::println);
+        TallySimulation simulation = new TallySimulation(seed, tolerated, minimal, InjectedFault.NONE);
+        String violation = String.valueOf(simulation.run());
+        System.out.println(violation);
+        simulation.history().adds.stream().filter(a -> violation.contains(" " + a + " ")
+                || violation.contains(" " + a + ","))
                 .forEach(a -> a.attempts.forEach(t -> System.out.println(a + ": " + t)));
         simulation.machines().forEach(m -> System.out.println(m.zone() + " " + m.describe()));
         simulation.history().disruptions.forEach(System.out::println);
     }
 
-    private static String wrong(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
+    private static String violation(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
         try {
             return new TallySimulation(seed, tolerated, plan, fault).run();
         } catch (RuntimeException e) {
@@ -106,14 +112,14 @@
         }
     }
 
-    private static TallyFaultPlan shrunk(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
-        TallyFaultPlan fewest = plan;
-        for (TallyFaultPlan.Fault left : plan.faults()) {
-            TallyFaultPlan fewer = fewest.without(left);
-            if (wrong(seed, tolerated, fewer, fault) != null) {
-                fewest = fewer;
+    private static TallyFaultPlan minimize(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault) {
+        TallyFaultPlan minimal = plan;
+        for (TallyFaultPlan.Fault candidate : plan.faults()) {
+            TallyFaultPlan fewer = minimal.without(candidate);
+            if (violation(seed, tolerated, fewer, fault) != null) {
+                minimal = fewer;
             }
         }
-        return fewest;
+        return minimal;
     }
 }
--- a/src/test/java/routerfleet/control/TallyClients.java
+++ b/src/test/java/routerfleet/control/TallyClients.java
@@ -11,18 +11,19 @@
 import routerfleet.simulation.VirtualWorld;
 
 /**
- * Applications that keep tallies, each in its zone: they call the nearest control node, and another one after a failure,
- * a 5xx, 429 or a second without an answer. Many adds are sent again, at once or later, from this or another zone.
+ * Simulates applications that use tallies, each in its zone: they call the nearest control node, and another one after a
+ * failure, a 5xx, a 429 or a second without a response. Many adds are sent again, at once or later, from this or another
+ * zone.
  */
 final class TallyClients {
     private static final Pattern TOTAL = Pattern.compile("\"total\"\\s*:\\s*(-?\\d+)");
-    private static final int MOST_TRIES = 5;
-    /** Adds of a tally whose amounts are powers of two. */
-    private static final int MOST_EXACT = 30;
+    private static final int MAX_ATTEMPTS = 5;
+    /** Number of adds to a tally whose amounts are powers of two. */
+    private static final int MAX_EXACT_ADDS = 30;
     private static final int OPEN_TALLIES = 6;
-    private static final int MOST_AMOUNT = 9;
-    private static final int MOST_PAUSE_MS = 260;
-    private static final int MOST_REPEAT_MS = 12_000;
+    private static final int MAX_AMOUNT = 9;
+    private static final int MAX_PAUSE_MS = 260;
+    private static final int MAX_REPEAT_MS = 12_000;
 
     private final VirtualWorld world;
     private final Random random;
@@ -36,7 +37,7 @@
     private int lastUid;
     private Consumer<SimulatedMachine> onAcknowledged = machine -> { };
 
-    /** A name and what has been added to it; every second one has amounts that are powers of two. */
+    /** A tally and the number of adds to it; in every second one, the amounts are powers of two. */
     private static final class Tally {
         private final String name;
         private final boolean exact;
@@ -60,71 +61,71 @@
         }
     }
 
-    /** Where the callers of a zone stand. */
+    /** Returns the location of a zone's callers. */
     static String location(String zone) {
         return "callers-" + zone;
     }
 
-    /** Begins. @param untilMs until when calls are made */
+    /** Starts the callers. @param untilMs when they stop to make calls */
     void start(List<String> allZones, int callersInAZone, long untilMs) {
         zones = allZones;
         endMs = untilMs;
         for (String zone : allZones) {
             for (int i = 0; i < callersInAZone; i++) {
-                world.afterMs(1_500 + random.nextInt(500), () -> callOn(zone));
+                world.afterMs(1_500 + random.nextInt(500), () -> callAndReschedule(zone));
             }
         }
     }
 
-    /** Given the machine of each acknowledgement of an add from now on. */
-    void onAcknowledged(Consumer<SimulatedMachine> strike) {
-        onAcknowledged = strike;
+    /** Sets what receives the machine of each acknowledged add from now on. */
+    void onAcknowledged(Consumer<SimulatedMachine> listener) {
+        onAcknowledged = listener;
     }
 
-    // ---- what is called for
+    // ---- choice of calls
 
-    private void callOn(String zone) {
+    private void callAndReschedule(String zone) {
         if (world.nowMs() > endMs) {
             return;
         }
-        int lot = random.nextInt(10);
-        if (lot < 4) {
+        int choice = random.nextInt(10);
+        if (choice < 4) {
             addNew(zone);
-        } else if (lot < 6 && !history.adds.isEmpty()) {
-            repeat(zone);
+        } else if (choice < 6 && !history.adds.isEmpty()) {
+            resend(zone);
         } else {
             read(open.get(random.nextInt(open.size())).name, zone);
         }
-        world.afterMs(1 + random.nextInt(MOST_PAUSE_MS), () -> callOn(zone));
+        world.afterMs(1 + random.nextInt(MAX_PAUSE_MS), () -> callAndReschedule(zone));
     }
 
     private void addNew(String zone) {
-        int place = random.nextInt(open.size());
-        Tally tally = open.get(place);
-        long amount = tally.exact ? 1L << tally.adds : 1 + random.nextInt(MOST_AMOUNT);
+        int index = random.nextInt(open.size());
+        Tally tally = open.get(index);
+        long amount = tally.exact ? 1L << tally.adds : 1 + random.nextInt(MAX_AMOUNT);
         TallyHistory.Add add = new TallyHistory.Add(tally.name, "u" + ++lastUid, amount);
         history.adds.add(add);
-        if (++tally.adds == MOST_EXACT) {
-            open.set(place, new Tally(++lastTally));
+        if (++tally.adds == MAX_EXACT_ADDS) {
+            open.set(index, new Tally(++lastTally));
         }
         send(add, zone);
         if (random.nextInt(4) == 0) {
-            String other = anyZone();
+            String other = randomZone();
             world.afterMs(random.nextInt(20), () -> send(add, other));
         }
         if (random.nextInt(4) == 0) {
-            String other = anyZone();
-            world.afterMs(random.nextInt(MOST_REPEAT_MS), () -> send(add, other));
+            String other = randomZone();
+            world.afterMs(random.nextInt(MAX_REPEAT_MS), () -> send(add, other));
         }
     }
 
-    private void repeat(String zone) {
+    private void resend(String zone) {
         int newest = history.adds.size() - 1;
         int age = random.nextInt(3) == 0 ? random.nextInt(newest + 1) : random.nextInt(Math.min(newest + 1, 20));
         TallyHistory.Add add = history.adds.get(newest - age);
         boolean exact = Integer.parseInt(add.tally.substring(1)) % 2 == 0;
         if (!exact && random.nextInt(6) == 0) {
-            TallyHistory.Add other = new TallyHistory.Add(add.tally, add.uid, 1 + random.nextInt(MOST_AMOUNT));
+            TallyHistory.Add other = new TallyHistory.Add(add.tally, add.uid, 1 + random.nextInt(MAX_AMOUNT));
             history.adds.add(other);
             send(other, zone);
         } else {
@@ -132,7 +133,7 @@
         }
     }
 
-    private String anyZone() {
+    private String randomZone() {
         return zones.get(random.nextInt(zones.size()));
     }
 
@@ -144,20 +145,20 @@
         send(add, request, zone, nearestFirst(zone), 0);
     }
 
-    private void send(TallyHistory.Add add, String request, String zone, List<SimulatedMachine> order, int tries) {
+    private void send(TallyHistory.Add add, String request, String zone, List<SimulatedMachine> nodes, int attempts) {
         if (world.nowMs() > endMs) {
             return;
         }
-        SimulatedMachine machine = order.get(tries % order.size());
-        // it may have been counted from now on: what has no answer yet stands as unclear
-        int at = add.attempts.size();
+        SimulatedMachine machine = nodes.get(attempts % nodes.size());
+        // the add may be counted from now on: until its response arrives, the attempt is recorded as unknown
+        int index = add.attempts.size();
         add.attempts.add(pending(zone, machine));
-        call(zone, machine, request, (made, body) -> {
-            add.attempts.set(at, made);
-            if (made.isAcknowledged()) {
+        call(zone, machine, request, (attempt, body) -> {
+            add.attempts.set(index, attempt);
+            if (attempt.isAcknowledged()) {
                 onAcknowledged.accept(machine);
-            } else if (isTriedElsewhere(made.status()) && tries + 1 < MOST_TRIES) {
-                send(add, request, zone, order, tries + 1);
+            } else if (isRetriedElsewhere(attempt.status()) && attempts + 1 < MAX_ATTEMPTS) {
+                send(add, request, zone, nodes, attempts + 1);
             }
         });
     }
@@ -170,25 +171,25 @@
         read(tally, zone, nearestFirst(zone), 0);
     }
 
-    private void read(String tally, String zone, List<SimulatedMachine> order, int tries) {
-        readAt(tally, zone, order.get(tries % order.size()), read -> {
+    private void read(String tally, String zone, List<SimulatedMachine> nodes, int attempts) {
+        readAt(tally, zone, nodes.get(attempts % nodes.size()), read -> {
             history.reads.add(read);
-            if (isTriedElsewhere(read.attempt().status()) && tries + 1 < MOST_TRIES) {
-                read(tally, zone, order, tries + 1);
+            if (isRetriedElsewhere(read.attempt().status()) && attempts + 1 < MAX_ATTEMPTS) {
+                read(tally, zone, nodes, attempts + 1);
             }
         });
     }
 
-    private void readAt(String tally, String zone, SimulatedMachine machine, Consumer<TallyHistory.Read> seen) {
+    private void readAt(String tally, String zone, SimulatedMachine machine, Consumer<TallyHistory.Read> onRead) {
         String request = SimulatedHttp.request("GET", "/rowanplank/tallies/" + tally + "/get", "", "");
-        call(zone, machine, request, (made, body) -> {
+        call(zone, machine, request, (attempt, body) -> {
             Matcher total = TOTAL.matcher(body);
-            boolean told = total.find();
-            seen.accept(new TallyHistory.Read(tally, made, told ? Long.parseLong(total.group(1)) : -1));
+            boolean found = total.find();
+            onRead.accept(new TallyHistory.Read(tally, attempt, found ? Long.parseLong(total.group(1)) : -1));
         });
     }
 
-    /** Reads every tally at every machine; the reads are taken for the last ones. */
+    /** Reads every tally at every machine, and records these as the final reads. */
     void readAllFinally() {
         for (int i = 1; i <= lastTally; i++) {
             for (SimulatedMachine machine : machines.get()) {
@@ -197,26 +198,28 @@
         }
     }
 
-    private static boolean isTriedElsewhere(int status) {
+    private static boolean isRetriedElsewhere(int status) {
         return status == 0 || status == 429 || status / 100 == 5;
     }
 
-    private interface Called {
-        void answered(TallyHistory.Attempt made, String body);
+    /** Receives the outcome of a call. */
+    private interface CallListener {
+        void responded(TallyHistory.Attempt attempt, String body);
     }
 
-    private void call(String zone, SimulatedMachine machine, String request, Called called) {
+    private void call(String zone, SimulatedMachine machine, String request, CallListener listener) {
         long sent = world.nowNanos();
         int life = machine.processStarts();
-        http.callFrom(location(zone), machine, request, answer -> called.answered(new TallyHistory.Attempt(location(zone),
-                machine.ip, machine.processStarts() == life ? life : -1, sent, world.nowNanos(), answer.status()), answer.body()));
+        http.callFrom(location(zone), machine, request, response -> listener.responded(
+                new TallyHistory.Attempt(location(zone), machine.ip, machine.processStarts() == life ? life : -1, sent,
+                        world.nowNanos(), response.status()), response.body()));
     }
 
-    /** Control nodes in the caller's zone, then all others, in an order of its own. */
+    /** Returns the control nodes in the caller's zone and then all others, each group in random order. */
     private List<SimulatedMachine> nearestFirst(String zone) {
-        List<SimulatedMachine> order = new ArrayList<>(machines.get());
-        Collections.shuffle(order, random);
-        order.sort((a, b) -> Boolean.compare(!a.zone().equals(zone), !b.zone().equals(zone)));
-        return order;
+        List<SimulatedMachine> nodes = new ArrayList<>(machines.get());
+        Collections.shuffle(nodes, random);
+        nodes.sort((a, b) -> Boolean.compare(!a.zone().equals(zone), !b.zone().equals(zone)));
+        return nodes;
     }
 }
--- a/src/test/java/routerfleet/control/TallyCluster.java
+++ b/src/test/java/routerfleet/control/TallyCluster.java
@@ -17,14 +17,17 @@
 import routerfleet.simulation.VirtualWorld;
 import routerfleet.wire.PeerCodec;
 
-/** Five control nodes in four zones in virtual time, of which two machines or one zone may be lost: only their tallies. */
+/**
+ * Simulates the tallies of five control nodes in four zones in virtual time; the loss of two machines or of one zone is
+ * tolerated.
+ */
 final class TallyCluster {
     static final int NODES = 5;
     private static final int PORT = 9_000;
-    private static final int LOST = 2;
+    private static final int TOLERATED_LOSSES = 2;
     private static final String[] ZONES = {"a", "a", "b", "c", "d"};
 
-    /** One machine and the life of its process. */
+    /** A machine and its current process. */
     private static final class Node {
         private SimulatedDisk disk;
         private SimulatedDisk.Writer writer;
@@ -38,7 +41,7 @@
     private final SplittableRandom random;
     private final TallyLimits bounds;
     private final List<Node> nodes = new ArrayList<>();
-    /** Statuses by the number of the call; 0 while there is none. */
+    /** Statuses by number of the call; 0 while there is no response. */
     private final Map<Integer, Integer> statuses = new HashMap<>();
     private int calls;
 
@@ -63,22 +66,22 @@
 
     void start(int index, boolean bootstrap) {
         Node node = nodes.get(index);
-        VirtualProcess life = new VirtualProcess(world, random.nextLong() >> 2, () -> { });
-        node.process = life;
-        node.writer = new SimulatedDisk.Writer(world, life);
+        VirtualProcess newProcess = new VirtualProcess(world, random.nextLong() >> 2, () -> { });
+        node.process = newProcess;
+        node.writer = new SimulatedDisk.Writer(world, newProcess);
         List<HostPort> seeds = List.of(new HostPort(ip(0), PORT), new HostPort(ip(2), PORT), new HostPort(ip(3), PORT));
         LocalSettings settings = new LocalSettings("core-" + index, ip(index), ZONES[index], null, null, null, PORT, seeds,
-                bootstrap, Path.of("/"), 400, LOST, 1, java.util.Set.of("a", "b", "c", "d"), Bounds.defaults());
-        ControlServiceFactory parts = new ControlServiceFactory(LOST) {
+                bootstrap, Path.of("/"), 400, TOLERATED_LOSSES, 1, java.util.Set.of("a", "b", "c", "d"), Bounds.defaults());
+        ControlServiceFactory parts = new ControlServiceFactory(TOLERATED_LOSSES) {
             @Override
             TallyLimits tallyBounds() {
                 return bounds;
             }
         };
-        node.service = new ControlService(settings, life, network.of(ip(index), life), codec,
-                new ReplicaStorage(node.disk, life, node.writer), random.split(), parts);
+        node.service = new ControlService(settings, newProcess, network.of(ip(index), newProcess), codec,
+                new ReplicaStorage(node.disk, newProcess, node.writer), random.split(), parts);
         ControlService started = node.service;
-        life.execute(() -> {
+        newProcess.execute(() -> {
             try {
                 started.load(() -> random.nextLong() >>> 2);
                 started.start();
@@ -89,14 +92,14 @@
         });
     }
 
-    /** Ends a process. */
+    /** Kills a process. */
     void kill(int index) {
         Node node = nodes.get(index);
         node.process.kill();
         network.killed(ip(index), node.process);
     }
 
-    /** Ends a process with its machine's power: what is not synced may be gone. */
+    /** Kills a process by a power loss of its machine: what is not synced may be lost. */
     void losePower(int index) {
         Node node = nodes.get(index);
         node.process.kill();
@@ -105,7 +108,7 @@
         network.lighten(ip(index));
     }
 
-    /** Puts an empty disk into a machine whose process has ended. */
+    /** Replaces the disk of a machine, whose process must have ended, by an empty one. */
     void wipe(int index) {
         nodes.get(index).disk = new SimulatedDisk(new Random(random.nextLong()), false, false);
     }
@@ -118,7 +121,7 @@
         nodes.get(index).writer.setHanging(hangs);
     }
 
-    /** Nothing passes between these nodes and the others, or all again. */
+    /** Cuts, or restores, all connections between these nodes and the others. */
     void cut(boolean cut, int... side) {
         for (int i = 0; i < NODES; i++) {
             for (int j = 0; j < NODES; j++) {
@@ -129,7 +132,7 @@
         }
     }
 
-    /** Nothing passes from one node to another, or all again. */
+    /** Cuts, or restores, one direction between two nodes. */
     void link(boolean cut, int from, int to) {
         if (cut) {
             network.cut(ip(from), ip(to));
@@ -157,19 +160,19 @@
         return call;
     }
 
-    /** What a call was answered; 0 for nothing yet. */
+    /** Returns the status of a call; 0 while there is no response. */
     int status(int call) {
         return statuses.get(call);
     }
 
-    /** Adds, and waits a second. @return the status */
+    /** Sends an add and waits for a second. @return the status */
     int addAndWait(int node, String uid, long amount) {
         int call = add(node, uid, amount);
         advance(1_000);
         return status(call);
     }
 
-    /** What a node tells of the tally; negative where it refuses. */
+    /** Returns the total that a node reports; negative if it refuses the read. */
     long read(int node) {
         long[] total = {-1};
         nodes.get(node).service.handle(new ControlHttp.Request("GET", "/rowanplank/tallies/t/get", null, new byte[0]),
@@ -182,7 +185,7 @@
         return total[0];
     }
 
-    /** What each node tells. */
+    /** Returns the total that each node reports. */
     List<Long> readAll() {
         List<Long> all = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
--- a/src/test/java/routerfleet/control/TallyFaultPlan.java
+++ b/src/test/java/routerfleet/control/TallyFaultPlan.java
@@ -4,9 +4,12 @@
 import java.util.List;
 import java.util.Random;
 
-/** Which faults strike a simulated core that keeps tallies, and when; drawn beforehand, so that one can be left out. */
+/**
+ * The faults that are injected into a simulated control plane with tallies, and their times; generated in advance, so
+ * that single ones can be left out.
+ */
 record TallyFaultPlan(List<Fault> faults) {
-    /** What strikes. Cuts come first: they are drawn more often, and last longer. */
+    /** Kind of fault. Partitions come first: they are chosen more often, and last longer. */
     enum Kind {
         CUT_ZONE, CUT_HALVES, CUT_ONE_WAY, CUT_BRIDGE, CUT_MACHINE,
         KILL, KILL_ALL, POWER, POWER_ZONE, POWER_ALL, POWER_IN_A_WRITE, FREEZE, RESET, WIPE, WIPE_ZONE,
@@ -18,36 +21,42 @@
     /**
      * One fault.
      *
-     * @param target which machine or zone, counted over those that are there
-     * @param variant chooses among forms of the same
+     * @param target selects the machine or zone, modulo their number
+     * @param durationMs how long it lasts
+     * @param variant selects a variant of the same kind
      */
     record Fault(int number, long atMs, Kind kind, int target, long durationMs, int variant) { }
 
     private static final int LONG_CUT_MS = 18_000;
-    private static final int MOST_MS = 6_000;
-    /** Most between two faults: where one follows on another, and where each has time to show what it does. */
-    private static final int DENSE_MS = 4_000;
-    private static final int SPARSE_MS = 20_000;
+    private static final int MAX_DURATION_MS = 6_000;
+    /**
+     * Maximum time between two faults: short in plans whose faults overlap, long in those where each can show its
+     * effects.
+     */
+    private static final int DENSE_INTERVAL_MS = 4_000;
+    private static final int SPARSE_INTERVAL_MS = 20_000;
 
-    /** Draws a plan. */
+    /** Generates a plan. */
     static TallyFaultPlan generate(long seed, long fromMs, long untilMs) {
         Random random = new Random(seed);
         List<Fault> faults = new ArrayList<>();
-        int pace = random.nextBoolean() ? DENSE_MS / 8 + random.nextInt(DENSE_MS) : DENSE_MS + random.nextInt(SPARSE_MS);
+        int maxInterval = random.nextBoolean() ? DENSE_INTERVAL_MS / 8 + random.nextInt(DENSE_INTERVAL_MS)
+                : DENSE_INTERVAL_MS + random.nextInt(SPARSE_INTERVAL_MS);
         Kind[] kinds = Kind.values();
-        Kind favourite = kinds[random.nextInt(kinds.length)];
-        for (long at = fromMs; at < untilMs; at += 50 + random.nextInt(pace)) {
-            int lot = random.nextInt(4);
-            Kind kind = lot == 0 ? kinds[random.nextInt(Kind.CUTS)]
-                    : lot == 1 ? favourite : kinds[random.nextInt(kinds.length)];
-            boolean lasts = kind.ordinal() < Kind.CUTS && random.nextBoolean();
-            long length = lasts ? LONG_CUT_MS / 2 + random.nextInt(LONG_CUT_MS) : 100 + random.nextInt(MOST_MS);
-            faults.add(new Fault(faults.size(), at, kind, random.nextInt(1_000), length, random.nextInt(1_000)));
+        Kind frequentKind = kinds[random.nextInt(kinds.length)];
+        for (long atMs = fromMs; atMs < untilMs; atMs += 50 + random.nextInt(maxInterval)) {
+            int choice = random.nextInt(4);
+            Kind kind = choice == 0 ? kinds[random.nextInt(Kind.CUTS)]
+                    : choice == 1 ? frequentKind : kinds[random.nextInt(kinds.length)];
+            boolean isLong = kind.ordinal() < Kind.CUTS && random.nextBoolean();
+            long durationMs = isLong ? LONG_CUT_MS / 2 + random.nextInt(LONG_CUT_MS)
+                    : 100 + random.nextInt(MAX_DURATION_MS);
+            faults.add(new Fault(faults.size(), atMs, kind, random.nextInt(1_000), durationMs, random.nextInt(1_000)));
         }
         return new TallyFaultPlan(faults);
     }
 
-    /** The plan without one of its faults. */
+    /** Returns the plan without one of its faults. */
     TallyFaultPlan without(Fault fault) {
         return new TallyFaultPlan(faults.stream().filter(f -> f.number() != fault.number()).toList());
     }
--- a/src/test/java/routerfleet/control/TallyHistory.java
+++ b/src/test/java/routerfleet/control/TallyHistory.java
@@ -4,31 +4,31 @@
 import java.util.List;
 
 /**
- * What callers of tallies and a fault injector did and saw: the material of {@link TallyHistoryChecker}. Times are in
- * nanoseconds of one clock; a span that hasn't ended lasts until {@link #OPEN}.
+ * What callers of tallies and a fault injector did and observed: the input of {@link TallyHistoryChecker}. Times are in
+ * nanoseconds of one clock; a period that hasn't ended lasts until {@link #OPEN}.
  */
 final class TallyHistory {
     static final long OPEN = Long.MAX_VALUE;
 
     /**
-     * One try of a call.
+     * One attempt of a call.
      *
-     * @param caller where the caller stands
-     * @param life which life of the machine's process the call was sent to
-     * @param status 0 where no answer came in time
+     * @param caller location of the caller
+     * @param life number of the machine's process, counted over its starts, that the call was sent to
+     * @param status 0 if no response arrived in time
      */
     record Attempt(String caller, String machine, int life, long sentNanos, long answeredNanos, int status) {
         boolean isAcknowledged() {
             return status == 200;
         }
 
-        /** Whether the answer promises that nothing was done. */
+        /** Whether the response promises that the call had no effect. */
         boolean isRefused() {
             return status == 503 || status == 429;
         }
     }
 
-    /** An add, with all tries of the same uid and amount. */
+    /** An add, with all attempts that have the same uid and amount. */
     static final class Add {
         final String tally;
         final String uid;
@@ -41,7 +41,7 @@
             this.amount = amount;
         }
 
-        /** Whether it can have been counted in an answer that was seen at a moment. */
+        /** Whether the add may be counted in a response that arrived at a moment. */
         boolean couldCountBy(long nanos) {
             return attempts.stream().anyMatch(t -> t.sentNanos() < nanos && !t.isRefused());
         }
@@ -55,10 +55,10 @@
     /** A read of a tally; the total counts only where the status is 200. */
     record Read(String tally, Attempt attempt, long total) { }
 
-    /** Trouble of any kind. @param isCut whether it only keeps machines from each other */
+    /** A disruption of any kind. @param isCut whether it only cuts connections between machines */
     record Disruption(String what, boolean isCut, long fromNanos, long untilNanos) { }
 
-    /** A connection that carries nothing in one or both ways; between two machines, or a caller and a machine. */
+    /** A connection that is cut in one or both directions; between two machines, or a caller and a machine. */
     record Cut(String one, String other, long fromNanos, long untilNanos) {
         boolean touches(String name) {
             return one.equals(name) || other.equals(name);
@@ -70,7 +70,7 @@
 
     final List<Add> adds = new ArrayList<>();
     final List<Read> reads = new ArrayList<>();
-    /** Reads after which nothing more happens. */
+    /** Reads at the end, after which nothing more happens. */
     final List<Read> finalReads = new ArrayList<>();
     final List<Disruption> disruptions = new ArrayList<>();
     final List<Cut> cuts = new ArrayList<>();
--- a/src/test/java/routerfleet/control/TallyHistoryChecker.java
+++ b/src/test/java/routerfleet/control/TallyHistoryChecker.java
@@ -12,12 +12,13 @@
 import routerfleet.control.TallyHistory.Read;
 
 /**
- * Judges what was seen of tallies by the operators' rules TWICE, STALE and LOST, by what calls are owed (UNSERVED), and
- * by whether all machines tell the same in the end (DIFFERS). It knows a
- * {@link TallyHistory} only, and shares no code with what it judges.
+ * Checks a {@link TallyHistory} against the rules TWICE, STALE and LOST for tallies, whether calls that had to succeed
+ * did (UNSERVED), and whether all machines report the same totals at the end (DIFFERS). It shares no code with the
+ * implementation that it checks.
  *
- * <p>Where each uid of a tally has one amount and these are different powers of two, a total tells which adds it counts,
- * and each add is judged by itself; elsewhere totals are held against the least and the most that can be counted.
+ * <p>If each uid of a tally has one amount and these are different powers of two, a total determines which adds it
+ * counts, and each add is checked individually; otherwise totals are compared with the minimum and maximum that can be
+ * counted.
  */
 final class TallyHistoryChecker {
     private final TallyHistory history;
@@ -25,7 +26,7 @@
     private final long settledNanos;
     private final Map<String, Tally> tallies = new HashMap<>();
 
-    /** The adds of one name. */
+    /** The adds to one tally. */
     private static final class Tally {
         private final Map<String, List<Add>> byUid = new HashMap<>();
 
@@ -36,13 +37,13 @@
                             && amounts.add(same.get(0).amount));
         }
 
-        long most(long nanos) {
+        long maxTotal(long nanos) {
             return byUid.values().stream().mapToLong(same -> same.stream().filter(a -> a.couldCountBy(nanos))
                     .mapToLong(a -> a.amount).max().orElse(0)).sum();
         }
 
-        /** The least that a uid adds once it is counted. */
-        long least(String uid, long nanos) {
+        /** Returns the minimum that a uid adds once it is counted. */
+        long minAmount(String uid, long nanos) {
             return byUid.get(uid).stream().filter(a -> a.couldCountBy(nanos)).mapToLong(a -> a.amount).min().orElse(0);
         }
     }
@@ -57,17 +58,18 @@
     }
 
     /**
-     * Judges a history.
+     * Checks a history.
      *
-     * @param mergeMs without trouble, the time until every machine counts what any has acknowledged
-     * @param settledMs without any change but in a cut that lasts, the time until each machine answers each call
-     * @return what is wrong, in one line that begins with the rule; null where nothing is
+     * @param mergeMs time without disruptions until every machine counts what any of them has acknowledged
+     * @param settledMs time until each machine responds to each call, if nothing changes except within a lasting
+     * partition
+     * @return the violation, in one line that begins with the rule; null if there is none
      */
     static String check(TallyHistory history, long mergeMs, long settledMs) {
         TallyHistoryChecker checker = new TallyHistoryChecker(history, mergeMs, settledMs);
-        String wrong = checker.reads();
-        wrong = wrong != null ? wrong : checker.finalReads();
-        return wrong != null ? wrong : checker.unserved();
+        String violation = checker.checkReads();
+        violation = violation != null ? violation : checker.checkFinalReads();
+        return violation != null ? violation : checker.checkCalls();
     }
 
     private Tally tally(String name) {
@@ -76,34 +78,34 @@
 
     // ---- totals
 
-    private String reads() {
+    private String checkReads() {
         for (Read read : history.reads) {
             if (read.attempt().isAcknowledged()) {
                 boolean calm = isCalm(read.attempt().sentNanos() - mergeNanos, read.attempt().answeredNanos());
-                String wrong = judge(read, "STALE", calm);
-                if (wrong != null) {
-                    return wrong;
+                String violation = checkRead(read, "STALE", calm);
+                if (violation != null) {
+                    return violation;
                 }
             }
         }
         return null;
     }
 
-    private String finalReads() {
+    private String checkFinalReads() {
         for (Read read : history.finalReads) {
             if (!read.attempt().isAcknowledged()) {
                 return "LOST: " + read.tally() + " can't be read at " + read.attempt().machine() + " in the end, status "
                         + read.attempt().status();
             }
-            String wrong = judge(read, "LOST", true);
-            if (wrong != null) {
-                return wrong;
+            String violation = checkRead(read, "LOST", true);
+            if (violation != null) {
+                return violation;
             }
         }
-        return inTheEndAllAgree();
+        return checkThatFinalReadsAgree();
     }
 
-    private String inTheEndAllAgree() {
+    private String checkThatFinalReadsAgree() {
         Map<String, Read> first = new HashMap<>();
         for (Read read : history.finalReads) {
             long quietNanos = read.attempt().sentNanos() - mergeNanos;
@@ -117,41 +119,42 @@
         return null;
     }
 
-    /** @param merged whether it has to hold what any machine has acknowledged */
-    private String judge(Read read, String rule, boolean merged) {
+    /** @param merged whether the read has to include what any machine has acknowledged */
+    private String checkRead(Read read, String rule, boolean merged) {
         Tally tally = tally(read.tally());
         long seenNanos = read.attempt().answeredNanos();
         boolean decodable = tally.isDecodable();
-        long most = tally.most(seenNanos);
-        if (decodable ? (read.total() & ~most) != 0 || read.total() < 0 : read.total() > most) {
-            return "TWICE: " + describe(read) + ", at most " + most + " can have been counted"
-                    + (decodable ? ", in the parts " + parts(most) + " and not " + parts(read.total() & ~most) : "");
+        long maxTotal = tally.maxTotal(seenNanos);
+        if (decodable ? (read.total() & ~maxTotal) != 0 || read.total() < 0 : read.total() > maxTotal) {
+            return "TWICE: " + describe(read) + ", at most " + maxTotal + " can have been counted"
+                    + (decodable ? ", in the parts " + amounts(maxTotal) + " and not "
+                    + amounts(read.total() & ~maxTotal) : "");
         }
-        long least = 0;
+        long minTotal = 0;
         for (Map.Entry<String, List<Add>> same : tally.byUid.entrySet()) {
-            Attempt owedBy = owedBy(same.getValue(), read, merged);
-            if (owedBy != null) {
-                long amount = tally.least(same.getKey(), seenNanos);
-                least += amount;
+            Attempt requiredBy = requiredBy(same.getValue(), read, merged);
+            if (requiredBy != null) {
+                long amount = tally.minAmount(same.getKey(), seenNanos);
+                minTotal += amount;
                 if (decodable && (read.total() & amount) == 0) {
                     return rule + ": " + describe(read) + ", lacks " + same.getValue().get(0) + ", acknowledged by "
-                            + describe(owedBy);
+                            + describe(requiredBy);
                 }
             }
         }
-        return read.total() >= least ? null : rule + ": " + describe(read) + ", at least " + least + " is owed";
+        return read.total() >= minTotal ? null : rule + ": " + describe(read) + ", at least " + minTotal + " is owed";
     }
 
-    private static List<Long> parts(long total) {
-        List<Long> parts = new ArrayList<>();
+    private static List<Long> amounts(long total) {
+        List<Long> amounts = new ArrayList<>();
         for (long rest = total; rest != 0; rest &= rest - 1) {
-            parts.add(Long.lowestOneBit(rest));
+            amounts.add(Long.lowestOneBit(rest));
         }
-        return parts;
+        return amounts;
     }
 
-    /** The acknowledgement for which a read has to hold an add; null where there is none. */
-    private Attempt owedBy(List<Add> same, Read read, boolean merged) {
+    /** Returns the acknowledgement that obliges a read to include an add; null if there is none. */
+    private Attempt requiredBy(List<Add> same, Read read, boolean merged) {
         Attempt call = read.attempt();
         for (Add add : same) {
             for (Attempt acknowledged : add.attempts) {
@@ -161,7 +164,7 @@
                 boolean own = acknowledged.machine().equals(call.machine()) && acknowledged.life() == call.life()
                         && acknowledged.answeredNanos() < call.sentNanos();
                 if (own || merged && acknowledged.answeredNanos() < call.sentNanos() - mergeNanos
-                        && !isNotOwed(acknowledged)) {
+                        && !isExcused(acknowledged)) {
                     return acknowledged;
                 }
             }
@@ -174,18 +177,23 @@
                 .noneMatch(d -> d.fromNanos() <= untilNanos && d.untilNanos() >= fromNanos);
     }
 
-    /** Whether a machine acknowledged during a broken connection, and lost its disk before that was made up for. */
-    private boolean isNotOwed(Attempt acknowledged) {
+    /**
+     * Whether an acknowledgement is excused: its machine had a broken connection, and lost its disk before the entries
+     * could be merged.
+     */
+    private boolean isExcused(Attempt acknowledged) {
         List<TallyHistory.Cut> cuts = history.cuts.stream().filter(c -> c.touches(acknowledged.machine())).toList();
         boolean cutOff = cuts.stream().anyMatch(c -> c.fromNanos() <= acknowledged.answeredNanos()
                 && c.untilNanos() >= acknowledged.sentNanos());
-        long madeUpForNanos = madeUpFor(cuts, acknowledged.answeredNanos());
+        long mergedNanos = mergedAt(cuts, acknowledged.answeredNanos());
         return cutOff && history.diskLosses.stream().anyMatch(l -> l.machine().equals(acknowledged.machine())
-                && l.atNanos() >= acknowledged.sentNanos() && l.atNanos() < madeUpForNanos);
+                && l.atNanos() >= acknowledged.sentNanos() && l.atNanos() < mergedNanos);
     }
 
-    /** When the merging time has passed past the healing; a cut that begins earlier keeps the connection broken. */
-    private long madeUpFor(List<TallyHistory.Cut> cuts, long sinceNanos) {
+    /**
+     * Returns when the merge time after healing is over; a partition that begins before then keeps the connection broken.
+     */
+    private long mergedAt(List<TallyHistory.Cut> cuts, long sinceNanos) {
         long healedNanos = sinceNanos - mergeNanos;
         for (long before = Long.MIN_VALUE; healedNanos != before && healedNanos != TallyHistory.OPEN;) {
             before = healedNanos;
@@ -196,36 +204,36 @@
         return healedNanos == TallyHistory.OPEN ? healedNanos : healedNanos + mergeNanos;
     }
 
-    // ---- what calls are owed
+    // ---- calls that must succeed
 
-    private String unserved() {
+    private String checkCalls() {
         for (Add add : history.adds) {
             for (Attempt call : add.attempts) {
-                if (isOwedAnAnswer(call)) {
+                if (mustSucceed(call)) {
                     return "UNSERVED: " + add + " to " + add.tally + " at " + describe(call);
                 }
             }
         }
         for (Read read : history.reads) {
-            if (isOwedAnAnswer(read.attempt())) {
+            if (mustSucceed(read.attempt())) {
                 return "UNSERVED: read of " + read.tally() + " at " + describe(read.attempt());
             }
         }
         return null;
     }
 
-    private boolean isOwedAnAnswer(Attempt call) {
+    private boolean mustSucceed(Attempt call) {
         long from = call.sentNanos() - settledNanos;
         return !call.isAcknowledged() && call.answeredNanos() != TallyHistory.OPEN
-                && history.disruptions.stream().noneMatch(d -> unsettles(d, from, call.answeredNanos()))
+                && history.disruptions.stream().noneMatch(d -> disturbs(d, from, call.answeredNanos()))
                 && history.callerCuts.stream().noneMatch(c -> c.touches(call.caller()) && c.touches(call.machine())
                         && c.fromNanos() <= call.answeredNanos() && c.untilNanos() >= from);
     }
 
-    private static boolean unsettles(TallyHistory.Disruption trouble, long fromNanos, long untilNanos) {
-        boolean overlaps = trouble.fromNanos() <= untilNanos && trouble.untilNanos() >= fromNanos;
-        boolean lasts = trouble.fromNanos() < fromNanos && trouble.untilNanos() > untilNanos;
-        return overlaps && !(trouble.isCut() && lasts);
+    private static boolean disturbs(TallyHistory.Disruption disruption, long fromNanos, long untilNanos) {
+        boolean overlaps = disruption.fromNanos() <= untilNanos && disruption.untilNanos() >= fromNanos;
+        boolean lasts = disruption.fromNanos() < fromNanos && disruption.untilNanos() > untilNanos;
+        return overlaps && !(disruption.isCut() && lasts);
     }
 
     private static String describe(Read read) {
--- a/src/test/java/routerfleet/control/TallyHistoryCheckerTest.java
+++ b/src/test/java/routerfleet/control/TallyHistoryCheckerTest.java
@@ -10,7 +10,7 @@
 import routerfleet.control.TallyHistory.Add;
 import routerfleet.control.TallyHistory.Attempt;
 
-/** Histories written by hand: each rule of tallies, broken and kept. Times are in milliseconds. */
+/** Histories written by hand, in which each rule of tallies is violated or kept. Times are in milliseconds. */
 class TallyHistoryCheckerTest {
     private static final long MERGE_MS = 3_000;
     private static final long SETTLED_MS = 6_000;
@@ -19,7 +19,7 @@
     private final TallyHistory history = new TallyHistory();
 
     TallyHistoryCheckerTest() {
-        trouble(0, 0); // the start of all machines
+        disruption(0, 0); // the start of all machines
     }
 
     private static Attempt call(String machine, int life, long sentMs, int status) {
@@ -41,11 +41,11 @@
         history.reads.add(read(machine, life, sentMs, total));
     }
 
-    private void readsInTheEnd(String machine, long total) {
+    private void finallyReads(String machine, long total) {
         history.finalReads.add(read(machine, 9, 90_000, total));
     }
 
-    private void trouble(long fromMs, long untilMs) {
+    private void disruption(long fromMs, long untilMs) {
         history.disruptions.add(new TallyHistory.Disruption("kill", false, fromMs * NANOS, untilMs * NANOS));
     }
 
@@ -56,14 +56,14 @@
 
     private void losesItsDisk(String machine, long atMs) {
         history.diskLosses.add(new TallyHistory.DiskLoss(machine, atMs * NANOS));
-        trouble(atMs, atMs + 500);
+        disruption(atMs, atMs + 500);
     }
 
-    private void verdict(Matcher<? super String> matcher) {
+    private void assertVerdict(Matcher<? super String> matcher) {
         assertThat(TallyHistoryChecker.check(history, MERGE_MS, SETTLED_MS), matcher);
     }
 
-    private static Matcher<String> breaks(String rule) {
+    private static Matcher<String> violates(String rule) {
         return startsWith(rule + ":");
     }
 
@@ -75,37 +75,37 @@
         add("v", 3, call("a", 1, 1_020, 0));
         reads("a", 1, 2_000, 3);
         reads("b", 1, 2_000, 6);
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
     void aTotalAboveAllThatCanHaveCounted() {
         add("u", 3, call("a", 1, 1_000, 200), call("b", 1, 1_010, 200));
         reads("a", 1, 2_000, 6);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     @Test
-    void aUidTwiceHiddenBehindAnAddThatIsMissing() {
+    void aUidCountedTwiceHiddenByAMissingAdd() {
         add("u", 2, call("a", 1, 1_000, 200));
         add("v", 4, call("b", 1, 1_000, 0));
         add("w", 8, call("b", 1, 1_000, 503));
         reads("a", 1, 2_000, 8);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     @Test
     void anAddThatWasNotYetSent() {
         add("u", 3, call("a", 1, 2_500, 200));
         reads("a", 1, 2_000, 3);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     @Test
     void anAddThatWasRefusedAndCounted() {
         add("u", 3, call("a", 1, 1_000, 503), call("b", 1, 1_100, 429));
         reads("a", 1, 2_000, 3);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     @Test
@@ -113,7 +113,7 @@
         add("u", 3, call("a", 1, 1_000, 503), call("b", 1, 1_100, 504));
         reads("a", 1, 2_000, 3);
         reads("b", 1, 2_000, 0);
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
@@ -122,7 +122,7 @@
         add("u", 5, call("b", 1, 1_000, 200));
         reads("a", 1, 2_000, 3);
         reads("b", 1, 2_000, 5);
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
@@ -130,7 +130,7 @@
         add("u", 3, call("a", 1, 1_000, 200));
         add("u", 5, call("b", 1, 1_000, 200));
         reads("a", 1, 2_000, 8);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     @Test
@@ -138,7 +138,7 @@
         add("u", 3, call("a", 1, 1_000, 200));
         add("u", 5, call("b", 1, 1_000, 503));
         reads("a", 1, 2_000, 5);
-        verdict(breaks("TWICE"));
+        assertVerdict(violates("TWICE"));
     }
 
     // ---- STALE
@@ -146,86 +146,86 @@
     @Test
     void aMachineLacksItsOwnAcknowledgement() {
         add("u", 3, call("a", 1, 1_000, 200));
-        trouble(1_500, 1_900);
+        disruption(1_500, 1_900);
         reads("a", 1, 2_000, 0);
-        verdict(breaks("STALE"));
+        assertVerdict(violates("STALE"));
     }
 
     @Test
-    void aMachineLacksWhatItAcknowledgedInAnEarlierLifeJustAfterTrouble() {
+    void aMachineLacksWhatItAcknowledgedInAnEarlierLifeRightAfterADisruption() {
         add("u", 3, call("a", 1, 1_000, 200));
-        trouble(1_500, 1_900);
+        disruption(1_500, 1_900);
         reads("a", 2, 2_000, 0);
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
     void aReadThatWasSentBeforeTheAcknowledgementCame() {
         add("u", 3, call("a", 1, 1_000, 200));
         reads("a", 1, 1_004, 0);
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
     void anotherMachineLacksAnAddAfterMergeMs() {
         add("u", 3, call("a", 1, 1_000, 200));
-        trouble(1_500, 1_900);
+        disruption(1_500, 1_900);
         reads("b", 1, 4_899, 0);
-        verdict(nullValue());
+        assertVerdict(nullValue());
         reads("b", 1, 4_901, 0);
-        verdict(breaks("STALE"));
+        assertVerdict(violates("STALE"));
     }
 
     @Test
     void anotherMachineLacksAnAddThatIsYoungerThanMergeMs() {
         add("u", 3, call("a", 1, 10_000, 200));
         reads("b", 1, 13_004, 0);
-        verdict(nullValue());
+        assertVerdict(nullValue());
         reads("b", 1, 13_006, 0);
-        verdict(breaks("STALE"));
+        assertVerdict(violates("STALE"));
     }
 
     @Test
-    void eachAddIsMissedByItself() {
+    void eachAddIsCheckedIndividually() {
         add("u", 1, call("a", 1, 1_000, 200));
         add("v", 4, call("b", 1, 1_000, 0));
         reads("a", 1, 2_000, 4);
-        verdict(breaks("STALE"));
+        assertVerdict(violates("STALE"));
     }
 
     // ---- LOST
 
     @Test
-    void anAddIsGoneInTheEnd() {
+    void anAddIsMissingAtTheEnd() {
         add("u", 3, call("a", 1, 1_000, 200));
-        trouble(89_000, 89_500);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        disruption(89_000, 89_500);
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
-    void anAddThatIsThereInTheEnd() {
+    void anAddThatIsPresentAtTheEnd() {
         add("u", 3, call("a", 1, 1_000, 200));
         add("v", 4, call("a", 1, 1_100, 504));
-        trouble(89_000, 89_500);
-        readsInTheEnd("b", 7);
-        readsInTheEnd("a", 7);
-        verdict(nullValue());
+        disruption(89_000, 89_500);
+        finallyReads("b", 7);
+        finallyReads("a", 7);
+        assertVerdict(nullValue());
     }
 
     @Test
-    void machinesThatDifferInTheEnd() {
+    void machinesThatDifferAtTheEnd() {
         add("u", 3, call("a", 1, 1_000, 200));
         add("v", 4, call("a", 1, 1_100, 504));
-        readsInTheEnd("b", 3);
-        readsInTheEnd("a", 7);
-        verdict(breaks("DIFFERS"));
+        finallyReads("b", 3);
+        finallyReads("a", 7);
+        assertVerdict(violates("DIFFERS"));
     }
 
     @Test
-    void aTallyThatCannotBeReadInTheEnd() {
+    void aTallyThatCannotBeReadAtTheEnd() {
         history.finalReads.add(new TallyHistory.Read("t", call("a", 1, 90_000, 503), 0));
-        verdict(breaks("LOST"));
+        assertVerdict(violates("LOST"));
     }
 
     @Test
@@ -233,8 +233,8 @@
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         losesItsDisk("a", 22_900);
-        readsInTheEnd("b", 0);
-        verdict(nullValue());
+        finallyReads("b", 0);
+        assertVerdict(nullValue());
     }
 
     @Test
@@ -242,29 +242,29 @@
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         losesItsDisk("a", 23_100);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
-    void cutOffAgainBeforeTheFirstCutWasMadeUpFor() {
+    void cutOffAgainBeforeTheFirstCutWasMerged() {
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         cut("c", "a", 19_000, 30_000);
         cut("a", "b", 32_900, 40_000);
         losesItsDisk("a", 42_900);
-        readsInTheEnd("b", 0);
-        verdict(nullValue());
+        finallyReads("b", 0);
+        assertVerdict(nullValue());
     }
 
     @Test
-    void cutOffAgainOnceTheFirstCutWasMadeUpFor() {
+    void cutOffAgainOnceTheFirstCutWasMerged() {
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         cut("a", "b", 23_100, 40_000);
         losesItsDisk("a", 30_000);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
@@ -272,8 +272,8 @@
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         losesItsDisk("b", 5_000);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
@@ -281,8 +281,8 @@
         add("u", 3, call("a", 1, 1_000, 200));
         cut("b", "c", 500, 20_000);
         losesItsDisk("a", 5_000);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
@@ -290,8 +290,8 @@
         add("u", 3, call("a", 1, 1_000, 200));
         cut("a", "b", 1_100, 20_000);
         losesItsDisk("a", 5_000);
-        readsInTheEnd("b", 0);
-        verdict(breaks("LOST"));
+        finallyReads("b", 0);
+        assertVerdict(violates("LOST"));
     }
 
     @Test
@@ -299,19 +299,19 @@
         add("u", 3, call("a", 1, 1_000, 200), call("b", 1, 1_000, 200));
         cut("a", "b", 500, 20_000);
         losesItsDisk("a", 5_000);
-        readsInTheEnd("c", 0);
-        verdict(breaks("LOST"));
+        finallyReads("c", 0);
+        assertVerdict(violates("LOST"));
     }
 
-    // ---- what calls are owed
+    // ---- calls that must succeed
 
     @Test
     void aCallFailsInALongCut() {
         add("u", 3, call("a", 1, 6_400, 503));
         cut("a", "b", 500, 20_000);
-        verdict(nullValue());
+        assertVerdict(nullValue());
         add("v", 3, call("a", 1, 6_600, 503));
-        verdict(breaks("UNSERVED"));
+        assertVerdict(violates("UNSERVED"));
     }
 
     @Test
@@ -319,19 +319,19 @@
         add("u", 3, call("a", 1, 9_000, 0));
         cut("a", "b", 500, 20_000);
         history.callerCuts.add(new TallyHistory.Cut("zone-a", "a", 500 * NANOS, 20_000 * NANOS));
-        verdict(nullValue());
+        assertVerdict(nullValue());
     }
 
     @Test
-    void aCallFailsInOtherTrouble() {
+    void aCallFailsInAnotherDisruption() {
         add("u", 3, call("a", 1, 9_000, 503));
-        trouble(500, 20_000);
-        verdict(nullValue());
+        disruption(500, 20_000);
+        assertVerdict(nullValue());
     }
 
     @Test
-    void aReadFailsInCalmTimes() {
+    void aReadFailsWithoutADisruption() {
         history.reads.add(new TallyHistory.Read("t", call("a", 1, 9_000, 503), 0));
-        verdict(breaks("UNSERVED"));
+        assertVerdict(violates("UNSERVED"));
     }
 }
--- a/src/test/java/routerfleet/control/TallyPartitionTest.java
+++ b/src/test/java/routerfleet/control/TallyPartitionTest.java
@@ -7,10 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tallies over cuts, lost disks, and disks in trouble, in virtual time. */
+/** Tallies during network partitions, disk losses and disk faults, in virtual time. */
 class TallyPartitionTest {
     private static final int MERGE_MS = 3_000;
-    /** After so long without the others a node takes itself for cut off. */
+    /** After this time without the others, a node considers itself cut off. */
     private static final int CUT_OFF_MS = 4_000;
 
     private static TallyCluster cluster(long seed) {
@@ -23,7 +23,7 @@
         assertThat(cluster.readAll().toString(), cluster.readAll(), everyItem(is(total)));
     }
 
-    /** Guards worth: an add is acknowledged well within the applications' aim. */
+    /** Guards latency: an add is acknowledged well within the time that applications need. */
     @Test
     void anAddIsAcknowledgedWithinAFewSyncs() {
         TallyCluster cluster = cluster(1);
@@ -34,9 +34,9 @@
         assertTotalEverywhere(cluster, 5);
     }
 
-    /** Guards both sides of a cut: each takes adds, and all totals are the same soon after it has healed. */
+    /** Guards both sides of a partition: each accepts adds, and all totals are the same soon after it has healed. */
     @Test
-    void bothSidesOfACutTakeAddsAndAgreeAfterIt() {
+    void bothSidesOfAPartitionAcceptAddsAndAgreeAfterIt() {
         for (int seed = 1; seed <= 20; seed++) {
             TallyCluster cluster = cluster(seed);
             assertThat(cluster.addAndWait(0, "before", 1), is(200));
@@ -55,7 +55,10 @@
         }
     }
 
-    /** Guards LOST: a node alone acknowledges nothing before it is sure of a cut, and never just after a start of all. */
+    /**
+     * Guards the rule LOST: a node alone acknowledges nothing before it is certain that it is cut off, and never right
+     * after a start of all nodes.
+     */
     @Test
     void aNodeThatHasJustLostTheOthersAcknowledgesNothing() {
         TallyCluster cluster = cluster(3);
@@ -73,9 +76,9 @@
         assertTotalEverywhere(cluster, 1);
     }
 
-    /** Guards LOST: what two disks hold that are lost at once was acknowledged on a third. */
+    /** Guards the rule LOST: an acknowledged add is on a third disk, and survives the simultaneous loss of two. */
     @Test
-    void whatWasAcknowledgedOutlivesTheLossOfTwoDisks() {
+    void acknowledgedAddsSurviveTheLossOfTwoDisks() {
         for (int seed = 1; seed <= 20; seed++) {
             TallyCluster cluster = cluster(seed);
             int call = cluster.add(0, "u", 5);
@@ -96,9 +99,9 @@
         }
     }
 
-    /** Guards LOST: two zones that can't reach each other are told of each other's adds by the third. */
+    /** Guards the rule LOST: two zones that can't reach each other receive each other's adds through a third. */
     @Test
-    void aThirdNodePassesOnWhatTwoCanNotTellEachOther() {
+    void aThirdNodePassesEntriesOnBetweenTwoThatAreCutOff() {
         TallyCluster cluster = cluster(5);
         for (int near = 0; near <= 1; near++) {
             for (int far = 2; far <= 3; far++) {
@@ -113,9 +116,9 @@
         assertTotalEverywhere(cluster, 3);
     }
 
-    /** Guards LOST: a lost disk's entries live on at others, and its node has them back. */
+    /** Guards the rule LOST: the entries of a lost disk survive at other nodes, and its node gets them back. */
     @Test
-    void theEntriesOfALostDiskLiveOn() {
+    void theEntriesOfALostDiskSurvive() {
         TallyCluster cluster = cluster(6);
         assertThat(cluster.addAndWait(4, "u", 7), is(200));
         cluster.kill(4);
@@ -128,9 +131,9 @@
         assertTotalEverywhere(cluster, 10);
     }
 
-    /** Guards 503's promise: a full disk takes nothing, and the add does not count later. */
+    /** Guards the promise of status 503: a full disk stores nothing, and the add is not counted later. */
     @Test
-    void aFullDiskRefusesAndNothingWasDone() {
+    void aFullDiskRefusesAddsWithoutEffect() {
         TallyCluster cluster = cluster(7);
         assertThat(cluster.addAndWait(0, "u", 7), is(200));
         cluster.disk(0).setFull(true);
@@ -143,9 +146,12 @@
         assertTotalEverywhere(cluster, 8);
     }
 
-    /** Guards callers: a disk that hangs makes what it has begun unclear, and refuses at once what comes then. */
+    /**
+     * Guards callers: if a disk hangs, the outcome of adds in the current write is unknown, and those that wait or arrive
+     * then are refused at once.
+     */
     @Test
-    void aDiskThatHangsRefusesWhatComesThen() {
+    void aDiskThatHangsRefusesFurtherAdds() {
         TallyCluster cluster = cluster(8);
         cluster.setDiskHanging(0, true);
         int first = cluster.add(0, "u", 7);
@@ -161,9 +167,12 @@
         assertTotalEverywhere(cluster, 7);
     }
 
-    /** Bound: what all hold is folded, in pieces over a lost disk too, and totals stay the same. */
+    /**
+     * Guards the limit of entries: those that all nodes hold are folded, also in several chunks after a disk loss, and
+     * totals stay the same.
+     */
     @Test
-    void whatAllHoldIsFoldedAndTotalsStay() {
+    void entriesHeldByAllAreFoldedAndTotalsStay() {
         TallyCluster cluster = new TallyCluster(9, new TallyLimits(50, 100, 200, 10, 20));
         cluster.advance(5_000);
         for (int i = 1; i <= 500; i++) {
@@ -190,19 +199,22 @@
         assertTotalEverywhere(cluster, 501);
     }
 
-    /** Bound: while a node is away nothing can be folded, and adds are refused before memory is full. */
+    /**
+     * Guards the limit of entries: while a node is unreachable nothing can be folded, and adds are refused before memory
+     * is full.
+     */
     @Test
-    void addsAreRefusedWhereNothingCanBeFolded() {
+    void addsAreRefusedWhileNothingCanBeFolded() {
         TallyCluster cluster = new TallyCluster(10, new TallyLimits(50, 100, 200, 10, 20));
         cluster.advance(5_000);
         cluster.cut(true, 4);
         cluster.advance(CUT_OFF_MS);
-        int taken = 0;
-        while (cluster.addAndWait(0, "u" + taken, 1) == 200) {
-            taken++;
-            assertThat(taken, is(lessThanOrEqualTo(100)));
+        int accepted = 0;
+        while (cluster.addAndWait(0, "u" + accepted, 1) == 200) {
+            accepted++;
+            assertThat(accepted, is(lessThanOrEqualTo(100)));
         }
-        assertThat(taken, is(100));
+        assertThat(accepted, is(100));
         cluster.cut(false, 4);
         cluster.advance(MERGE_MS);
         assertThat(cluster.addAndWait(0, "v", 1), is(200));
--- a/src/test/java/routerfleet/control/TallyReplicaProgressTest.java
+++ b/src/test/java/routerfleet/control/TallyReplicaProgressTest.java
@@ -10,31 +10,31 @@
 import routerfleet.journal.JournalVector;
 import routerfleet.journal.Origin;
 
-/** What is known of other control nodes' disks. */
+/** Tracking of what other control nodes hold on their disks. */
 class TallyReplicaProgressTest {
     private static final Origin DISK = new Origin("10.0.0.2", 5);
     private static final Origin NEXT_DISK = new Origin("10.0.0.2", 6);
     private static final Origin ADDS = new Origin("10.0.0.1", 7);
 
-    private final TallyReplicaProgress copies = new TallyReplicaProgress();
+    private final TallyReplicaProgress progress = new TallyReplicaProgress();
 
     private static JournalVector upTo(long number) {
         return new JournalVector(new TreeMap<>(Map.of(ADDS, number)));
     }
 
-    /** Guards acknowledgements: a vector that comes later than what was told after it takes nothing back. */
+    /** Guards acknowledgements: a vector that arrives after a newer report takes nothing back. */
     @Test
-    void aVectorThatComesLateTakesNothingBack() {
-        copies.update(DISK, upTo(1));
-        copies.update(DISK, ADDS, 3);
-        copies.update(DISK, upTo(2));
-        assertThat(copies.holdersOf(ADDS, 3), contains("10.0.0.2"));
+    void aLateVectorTakesNothingBack() {
+        progress.update(DISK, upTo(1));
+        progress.update(DISK, ADDS, 3);
+        progress.update(DISK, upTo(2));
+        assertThat(progress.holdersOf(ADDS, 3), contains("10.0.0.2"));
     }
 
     @Test
-    void aLostDiskHoldsNothingAnyMore() {
-        copies.update(DISK, upTo(3));
-        copies.update(NEXT_DISK, upTo(0));
-        assertThat(copies.holdersOf(ADDS, 1), empty());
+    void aReplacedDiskHoldsNothing() {
+        progress.update(DISK, upTo(3));
+        progress.update(NEXT_DISK, upTo(0));
+        assertThat(progress.holdersOf(ADDS, 1), empty());
     }
 }
--- a/src/test/java/routerfleet/control/TallyServiceTest.java
+++ b/src/test/java/routerfleet/control/TallyServiceTest.java
@@ -25,7 +25,7 @@
 import routerfleet.wire.PeerLink;
 import routerfleet.wire.PeerMessage;
 
-/** What a control node says to another one about tallies. */
+/** Exchange of tally entries between control nodes. */
 class TallyServiceTest {
     private static final Origin OTHER = new Origin("10.0.0.2", 5);
     private static final Origin SELF = new Origin("10.0.0.1", 7);
@@ -34,14 +34,14 @@
     private final VirtualWorld world = new VirtualWorld();
     private final VirtualProcess process = new VirtualProcess(world, -1_000_000_000_000L, () -> { });
     private final List<PeerMessage> sent = new ArrayList<>();
-    private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, null, new Wire());
+    private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, null, new RecordingCarrier());
     private final ControlPeers peers = new ControlPeers("10.0.0.1", 7_001);
     private final TallyService service = new TallyService(settings(), process, peers,
             new TallyStorage(new SimulatedDisk(new Random(1), false, false), new SimulatedDisk.Writer(world, process),
                     process), TallyLimits.DEFAULT, new ControlServiceFactory(1).tallyReach(settings(), peers));
 
-    /** Keeps what is sent. */
-    private final class Wire implements PeerLink.Carrier {
+    /** Records sent messages. */
+    private final class RecordingCarrier implements PeerLink.Carrier {
         @Override
         public boolean isOpen() {
             return true;
@@ -63,7 +63,7 @@
 
         @Override
         public void close() {
-            // nothing to give back
+            // nothing to release
         }
     }
 
@@ -96,9 +96,9 @@
         world.runUntilMs(10);
     }
 
-    /** Guards acknowledgements: adds behind one that was kept back do not wait for the next regular exchange. */
+    /** Guards acknowledgements: adds after a missing one are not delayed until the next regular exchange. */
     @Test
-    void entriesBehindAMissingOneAreAskedForAtOnce() {
+    void entriesMissingBeforeANewOneAreRequestedAtOnce() {
         receive(1);
         sent.clear();
         receive(3);
@@ -106,9 +106,12 @@
                 new PeerMessage.TallyVector(SELF, vector(OTHER, 1), true)));
     }
 
-    /** Guards the regular exchange: what it brings goes up to the newest entry, else each new one is missed again. */
+    /**
+     * Guards the regular exchange: it sends all entries up to the newest, since otherwise each new one would be reported
+     * as following a gap.
+     */
     @Test
-    void aNodeThatLacksAnEntryGetsAllBehindItToo() {
+    void aNodeThatLacksAnEntryGetsAllLaterOnesToo() {
         receive(1, 2);
         world.runUntilMs(world.nowMs() + 600);
         receive(3);
@@ -117,9 +120,9 @@
         assertThat(sent, contains(new PeerMessage.TallyEntries(List.of(entry(2), entry(3)), false, false, false)));
     }
 
-    /** Guards the network: an entry that is just on its way is not sent twice. */
+    /** Guards the network: an entry that is in transit is not sent twice. */
     @Test
-    void anEntryThatIsOnItsWayIsNotSentAgain() {
+    void anEntryInTransitIsNotSentAgain() {
         receive(1);
         sent.clear();
         service.received(link, new PeerMessage.TallyVector(OTHER, JournalVector.EMPTY, false));
@@ -133,9 +136,12 @@
         return statuses.get(0);
     }
 
-    /** Guards LOST: two nodes whose disks were lost at one time must not take each other's empty answer for everything. */
+    /**
+     * Guards the rule LOST: two nodes that lost their disks at the same time must not take each other's empty response as
+     * complete.
+     */
     @Test
-    void theAnswerOfANodeThatLacksEntriesItselfFillsNobody() {
+    void theResponseOfAnIncompleteNodeCompletesNoOther() {
         service.received(link, new PeerMessage.TallyEntries(List.of(), false, true, false));
         world.runUntilMs(world.nowMs() + 10);
         assertThat(read(), is(503));
@@ -144,13 +150,13 @@
         assertThat(read(), is(200));
     }
 
-    /** Guards reads: where the question of a node that lacks entries is lost, it is asked again. */
+    /** Guards reads: if the request of a node that lacks entries is lost, it is repeated. */
     @Test
-    void aNodeThatLacksEntriesGoesOnAsking() {
+    void anIncompleteNodeRepeatsItsRequest() {
         service.received(link, new PeerMessage.TallyVector(OTHER, JournalVector.EMPTY, true));
         sent.clear();
         world.runUntilMs(world.nowMs() + 5_100);
         service.received(link, new PeerMessage.TallyEntries(List.of(), false, true, false));
-        assertThat("there is nobody to wait for", read(), is(200));
+        assertThat("no other node to wait for", read(), is(200));
     }
 }
--- a/src/test/java/routerfleet/control/TallySimulation.java
+++ b/src/test/java/routerfleet/control/TallySimulation.java
@@ -13,18 +13,22 @@
 import routerfleet.wire.PeerCodec;
 
 /**
- * A core over several zones in virtual time, applications in each zone that keep tallies, and long cuts, losses of
- * disks and power, and other trouble: real control services, known by their HTTP interface only. What was seen is judged
- * by {@link TallyHistoryChecker}. At last all is well, at times after a final fault, and every tally is read everywhere.
+ * Simulates a control plane in several zones in virtual time, applications in each zone that use tallies, and long
+ * partitions, losses of disks and power, and other faults. The control services are real, and accessed through their HTTP
+ * interface only. What callers observe is checked by {@link TallyHistoryChecker}. At the end all faults are over, in some
+ * runs after a final one, and every tally is read at every machine.
  */
 final class TallySimulation {
     static final long MERGE_MS = 3_000;
-    /** In a cut that lasts, until each machine serves alone what it can't share: after a start, and after silence. */
+    /**
+     * During a lasting partition, time until each machine serves alone what it can't share: it includes the delay after a
+     * start, and that after the loss of connections.
+     */
     static final long SETTLED_MS = 8_000;
     private static final long FAULTS_FROM_MS = 3_000;
     private static final long FAULTS_MS = 40_000;
     private static final long RECOVERY_MS = 15_000;
-    /** Before the last reads, for so long nothing is added. */
+    /** Time without adds before the final reads. */
     private static final long QUIET_MS = 5_000;
     private static final long CALM_MS = 4_000;
     private static final long CHECK_MS = 100;
@@ -38,8 +42,8 @@
     private final List<String> zones;
     private final TallyClients clients;
     private final TallyFaultInjector faults;
-    private final boolean endsWithAFault;
-    private long wellSinceMs;
+    private final boolean endsWithFault;
+    private long healthySinceMs;
 
     private static final ThreadLocal<PeerCodec> CODEC = ThreadLocal.withInitial(PeerCodec::new);
 
@@ -47,7 +51,7 @@
         this(seed, tolerated, plan, fault, machine -> UnaryOperator.identity());
     }
 
-    /** @param interceptors what stands between callers and each machine's control service */
+    /** @param interceptors wraps the HTTP handler of each machine's control service */
     TallySimulation(long seed, int tolerated, TallyFaultPlan plan, InjectedFault fault,
             Function<SimulatedMachine, UnaryOperator<ControlHttp.Handler>> interceptors) {
         this.tolerated = tolerated;
@@ -55,13 +59,13 @@
         SimulatedNetwork network = new SimulatedNetwork(world, random.nextLong(), CODEC.get());
         SimulatedMachine.Environment surroundings =
                 new SimulatedMachine.Environment(world, network, CODEC.get(), tolerated, fault);
-        // the ways are those of the faults, which need the clients
-        TallyFaultInjector[] ways = new TallyFaultInjector[1];
-        SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault, (from, to) -> ways[0].canReach(from, to));
+        // the links are those of the fault injector, which needs the clients
+        TallyFaultInjector[] links = new TallyFaultInjector[1];
+        SimulatedHttp http = new SimulatedHttp(world, random.nextLong(), fault, (from, to) -> links[0].canReach(from, to));
         clients = new TallyClients(world, random.nextLong(), http, this::machines, history);
         faults = new TallyFaultInjector(this, world, network, http, clients, history, new Random(random.nextLong()));
-        ways[0] = faults;
-        zones = drawZones();
+        links[0] = faults;
+        zones = chooseZones();
         for (int i = 0; i < 2 * tolerated + 1; i++) {
             SimulatedMachine.Location place =
                     new SimulatedMachine.Location(zones.get(i % zones.size()), 1, Set.copyOf(zones));
@@ -70,11 +74,11 @@
             machine.intercept(interceptors.apply(machine));
             machines.add(machine);
         }
-        endsWithAFault = random.nextBoolean();
+        endsWithFault = random.nextBoolean();
         plan.faults().forEach(f -> world.afterMs(f.atMs(), () -> faults.inject(f)));
     }
 
-    private List<String> drawZones() {
+    private List<String> chooseZones() {
         int count = tolerated == 1 ? 3 : 3 + random.nextInt(2);
         return List.of("a", "b", "c", "d").subList(0, count);
     }
@@ -83,7 +87,7 @@
         return TallyFaultPlan.generate(seed * 37 + 11, FAULTS_FROM_MS, FAULTS_FROM_MS + FAULTS_MS);
     }
 
-    /** Plays it. @return what was wrong, in one line that begins with a rule; null where nothing was */
+    /** Runs the simulation. @return the violation, in one line that begins with a rule; null if there is none */
     String run() {
         history.disruptions.add(new TallyHistory.Disruption("start", false, 0, 0));
         machines.forEach(m -> m.start(true, seeds()));
@@ -92,7 +96,7 @@
         world.runUntilMs(FAULTS_FROM_MS + FAULTS_MS);
         faults.endAll();
         world.runUntilMs(world.nowMs() + RECOVERY_MS);
-        if (endsWithAFault) {
+        if (endsWithFault) {
             faults.injectFinalFault();
             world.runUntilMs(world.nowMs() + RECOVERY_MS);
         }
@@ -123,8 +127,8 @@
 
     private void check() {
         if (!faults.isIdle() || !machines.stream().allMatch(SimulatedMachine::isHealthy)) {
-            wellSinceMs = world.nowMs();
-        } else if (world.nowMs() - wellSinceMs >= CALM_MS) {
+            healthySinceMs = world.nowMs();
+        } else if (world.nowMs() - healthySinceMs >= CALM_MS) {
             faults.lossesRepaired();
         }
         world.afterMs(CHECK_MS, this::check);
--- a/src/test/java/routerfleet/control/TallySimulationTest.java
+++ b/src/test/java/routerfleet/control/TallySimulationTest.java
@@ -12,37 +12,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Tallies on days of trouble in virtual time. */
+/** Tallies under faults, in virtual time. */
 class TallySimulationTest {
-    private static final int MOST_RUNS = 6;
+    private static final int MAX_RUNS = 6;
 
-    private static TallySimulation standIn(long seed, int tolerated, TallyStub.Flaw flaw) {
-        TallyStub standIn = new TallyStub(flaw, seed);
-        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE, standIn::interceptor);
+    private static TallySimulation withStub(long seed, int tolerated, TallyStub.Flaw flaw) {
+        TallyStub stub = new TallyStub(flaw, seed);
+        return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), InjectedFault.NONE, stub::interceptor);
     }
 
-    private static String play(long seed, int tolerated, InjectedFault fault) {
+    private static String runSeed(long seed, int tolerated, InjectedFault fault) {
         return new TallySimulation(seed, tolerated, TallySimulation.plan(seed), fault).run();
     }
 
     @Test
-    void drawnDays() {
-        assertThat("seed 3 of three nodes", play(3, 1, InjectedFault.NONE), is(nullValue()));
-        assertThat("seed 1 of five nodes", play(1, 2, InjectedFault.NONE), is(nullValue()));
+    void generatedRuns() {
+        assertThat("seed 3 of three nodes", runSeed(3, 1, InjectedFault.NONE), is(nullValue()));
+        assertThat("seed 1 of five nodes", runSeed(1, 2, InjectedFault.NONE), is(nullValue()));
     }
 
-    /** Guards SHORT: adds waited for the next exchange of vectors, up to 900 ms, as long as others came. */
+    /**
+     * Guards the rule SHORT: while other adds kept arriving, adds waited up to 900 ms for the next exchange of vectors.
+     */
     @Test
     void addsAreServedAfterAGapInAJournal() {
-        assertThat(play(2, 1, InjectedFault.NONE), is(nullValue()));
+        assertThat(runSeed(2, 1, InjectedFault.NONE), is(nullValue()));
     }
 
-    /** Those that the first run of three nodes shows. */
+    /** The injected faults that the first run of three nodes detects. */
     @ParameterizedTest
     @EnumSource(value = InjectedFault.class, names = {"TALLY_TOLD_BEFORE_SYNCED", "TALLY_LAST_RECORD_FORGOTTEN",
         "TALLY_UIDS_FORGOTTEN", "TALLY_REFUSED_AFTER_WRITTEN"})
-    void aPlantedFaultIsFound(InjectedFault fault) {
-        assertThat(play(1, 1, fault), is(notNullValue()));
+    void anInjectedFaultIsDetected(InjectedFault fault) {
+        assertThat(runSeed(1, 1, fault), is(notNullValue()));
     }
 
     private static TallyFaultPlan disksAreLostRightAfterAcknowledgements() {
@@ -53,32 +55,32 @@
         return new TallyFaultPlan(faults);
     }
 
-    /** Each time the acknowledging machine loses its disk, and all others lose power at the same moment. */
+    /** At each fault, the acknowledging machine loses its disk, and all others lose power at the same moment. */
     @Test
     void aDiskIsLostRightAfterAnAcknowledgement() {
         TallyFaultPlan plan = disksAreLostRightAfterAcknowledgements();
-        String found = null;
-        for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
+        String violation = null;
+        for (long seed = 1; seed <= MAX_RUNS && violation == null; seed++) {
             assertThat("seed " + seed, new TallySimulation(seed, 1, plan, InjectedFault.NONE).run(), is(nullValue()));
-            found = new TallySimulation(seed, 1, plan, InjectedFault.TALLY_ON_ONE_DISK_TOO_FEW).run();
+            violation = new TallySimulation(seed, 1, plan, InjectedFault.TALLY_ON_ONE_DISK_TOO_FEW).run();
         }
-        assertThat("one disk too few is found", found, is(notNullValue()));
+        assertThat("one disk too few is detected", violation, is(notNullValue()));
     }
 
     @Test
-    void aSoundStandInIsFoundSound() {
-        TallySimulation simulation = standIn(1, 1, TallyStub.Flaw.NONE);
+    void aCorrectStubPasses() {
+        TallySimulation simulation = withStub(1, 1, TallyStub.Flaw.NONE);
         assertThat(simulation.run(), is(nullValue()));
         assertThat(simulation.history().adds.size(), is(greaterThan(300)));
     }
 
     @ParameterizedTest
     @EnumSource(value = TallyStub.Flaw.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aFlawOfTheStandInIsFound(TallyStub.Flaw flaw) {
-        String found = null;
-        for (long seed = 1; seed <= MOST_RUNS && found == null; seed++) {
-            found = standIn(seed, 1, flaw).run();
+    void aFlawOfTheStubIsDetected(TallyStub.Flaw flaw) {
+        String violation = null;
+        for (long seed = 1; seed <= MAX_RUNS && violation == null; seed++) {
+            violation = withStub(seed, 1, flaw).run();
         }
-        assertThat(found, is(notNullValue()));
+        assertThat(violation, is(notNullValue()));
     }
 }
--- a/src/test/java/routerfleet/control/TallyTest.java
+++ b/src/test/java/routerfleet/control/TallyTest.java
@@ -16,17 +16,20 @@
 import routerfleet.demo.LoopbackFleet;
 import routerfleet.demo.LoopbackHttp;
 
-/** Tallies at whole control nodes: what was acknowledged is in every node's total, once, over restarts and lost disks. */
+/**
+ * Tallies at complete control nodes: acknowledged adds are in every node's total exactly once, including restarts and
+ * lost disks.
+ */
 class TallyTest {
-    private static final int MOST_WAIT_S = 20;
+    private static final int MAX_WAIT_S = 20;
 
     @TempDir
-    private Path folder;
+    private Path directory;
     private LoopbackFleet fleet;
 
     @BeforeEach
     void start() throws IOException {
-        fleet = new LoopbackFleet(folder, 3);
+        fleet = new LoopbackFleet(directory, 3);
     }
 
     @AfterEach
@@ -39,9 +42,9 @@
                 Map.of("Content-Type", "application/json"), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Adds as an application does: again after a 5xx. @return the status that is no 5xx */
+    /** Adds as an application does, and retries after a 5xx. @return the first status that is no 5xx */
     private int add(int number, String tally, String uid, long amount) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
         int status;
         do {
             status = addOnce(number, tally, "{\"uid\":\"" + uid + "\",\"owner\":" + amount + "}").status();
@@ -54,15 +57,15 @@
                 new byte[0]);
     }
 
-    /** Reads until a total is told, or the time is over. @return what is told last */
+    /** Reads until the expected total is returned, or the time is over. @return the last response body */
     private String readUntil(int number, String tally, long total) throws IOException {
         String wanted = "{\"total\":" + total + "}";
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT_S);
-        String told;
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
+        String body;
         do {
-            told = read(number, tally).body();
-        } while (!told.equals(wanted) && System.nanoTime() - end < 0);
-        return told;
+            body = read(number, tally).body();
+        } while (!body.equals(wanted) && System.nanoTime() - end < 0);
+        return body;
     }
 
     private void assertTotalEverywhere(String tally, long total) throws IOException {
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Guards LOST: an add that is acknowledged at one node is in the total of every one. */
+    /** Guards the rule LOST: an add that is acknowledged at one node is in the total of every node. */
     @Test
     void anAcknowledgedAddIsReadAtEveryNode() throws IOException {
         assertThat(add(1, "t", "a", 4), is(200));
@@ -81,7 +84,7 @@
         assertThat(readUntil(3, "new", 0), is("{\"total\":0}"));
     }
 
-    /** Guards TWICE: an add that is sent again, here or elsewhere, counts once. */
+    /** Guards the rule TWICE: an add that is sent again, here or at another node, counts once. */
     @Test
     void anAddThatIsSentAgainCountsOnce() throws IOException {
         assertThat(add(1, "t", "a", 4), is(200));
@@ -92,9 +95,9 @@
         assertTotalEverywhere("t", 5);
     }
 
-    /** Guards LOST: acknowledged adds outlive the end of all processes at once. */
+    /** Guards the rule LOST: acknowledged adds survive the simultaneous end of all processes. */
     @Test
-    void acknowledgedAddsOutliveTheEndOfAllProcesses() throws IOException {
+    void acknowledgedAddsSurviveTheEndOfAllProcesses() throws IOException {
         for (int i = 1; i <= 3; i++) {
             assertThat(add(i, "t", "u" + i, i), is(200));
         }
@@ -110,9 +113,9 @@
         assertTotalEverywhere("t", 16);
     }
 
-    /** Guards LOST: what a node acknowledged outlives the loss of its disk. */
+    /** Guards the rule LOST: what a node acknowledged survives the loss of its disk. */
     @Test
-    void acknowledgedAddsOutliveTheLossOfADisk() throws IOException {
+    void acknowledgedAddsSurviveTheLossOfADisk() throws IOException {
         assertThat(add(1, "t", "a", 4), is(200));
         fleet.crashControl(1);
         fleet.wipe(1);
@@ -123,9 +126,9 @@
         assertTotalEverywhere("t", 6);
     }
 
-    /** Guards callers: what can't be an add is refused for good, with the item that is wrong. */
+    /** Guards callers: an invalid add is rejected permanently, and the response names the invalid item. */
     @Test
-    void whatCanBeNoAddIsRefusedWithTheItemThatIsWrong() throws IOException {
+    void anInvalidAddIsRejectedWithTheInvalidItem() throws IOException {
         assertRefused("{\"owner\":4}", "uid");
         assertRefused("{\"uid\":\"\",\"owner\":4}", "uid");
         assertRefused("{\"uid\":\"" + "x".repeat(129) + "\",\"owner\":4}", "uid");
@@ -139,8 +142,8 @@
     }
 
     private void assertRefused(String body, String item) throws IOException {
-        LoopbackHttp.Answer answer = addOnce(1, "t", body);
-        assertThat(body, answer.status(), is(400));
-        assertThat(body, answer.body(), containsString(item));
+        LoopbackHttp.Answer response = addOnce(1, "t", body);
+        assertThat(body, response.status(), is(400));
+        assertThat(body, response.body(), containsString(item));
     }
 }
--- a/src/test/java/routerfleet/control/UnorderedHttp.java
+++ b/src/test/java/routerfleet/control/UnorderedHttp.java
@@ -12,9 +12,12 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** The HTTP side of a control node with a planted fault: requests are handled at once, and answered as they are done. */
+/**
+ * The HTTP server of a control node with an injected fault: requests are handled concurrently, and responses are sent in
+ * the order in which they are ready.
+ */
 final class UnorderedHttp extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final int MOST_BYTES = 1 << 22;
+    private static final int MAX_BODY_BYTES = 1 << 22;
 
     private final ControlHttp.Handler handler;
 
@@ -23,7 +26,7 @@
     }
 
     static void install(ChannelPipeline pipeline, ControlHttp.Handler handler) {
-        pipeline.addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BYTES), new UnorderedHttp(handler));
+        pipeline.addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new UnorderedHttp(handler));
     }
 
     @Override
@@ -32,10 +35,10 @@
         message.content().readBytes(body);
         handler.handle(new ControlHttp.Request(message.method().name(), message.uri(),
                 message.headers().get("Rowanplank-Base-Version"), body), response -> {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+            DefaultFullHttpResponse httpResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(response.status()), Unpooled.wrappedBuffer(response.body()));
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
-            context.writeAndFlush(answer);
+            httpResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+            context.writeAndFlush(httpResponse);
         });
     }
 }
