--- a/src/main/java/rowanplank/agreement/DurabilityBarrier.java
+++ b/src/main/java/rowanplank/agreement/DurabilityBarrier.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * Numbers writes to a disk, and holds messages back until all writes that were begun before them are done.
+ * Numbers writes to a disk, and holds messages back until all writes that were started before them are durable.
  *
- * <p>Bound: so many messages as it is made for; of more the oldest are dropped, as if lost.
+ * <p>Limit: the given number of held messages; beyond it the oldest are dropped, as if they had been lost.
  *
  * @param <T> a message with its address
  */
@@ -20,26 +20,30 @@
     private long lastBegun;
     private long lastDone;
 
-    DurabilityBarrier(int mostHeld) {
-        this.maxHeld = mostHeld;
+    DurabilityBarrier(int maxHeld) {
+        this.maxHeld = maxHeld;
     }
 
-    /** A write begins. @return its number; numbers rise by one */
+    /**
+     * Registers the start of a write.
+     *
+     * @return its number; numbers increase by one
+     */
     long beginWrite() {
         return ++lastBegun;
     }
 
-    /** Up to which number all writes are done. */
+    /** The number up to which all writes are done. */
     long done() {
         return lastDone;
     }
 
-    /** Whether a write is under way. */
+    /** Whether a write is in progress. */
     boolean isBusy() {
         return lastDone != lastBegun;
     }
 
-    /** Holds a message until all writes begun so far are done. */
+    /** Holds a message until all writes started so far are done. */
     void hold(T message) {
         if (held.size() == maxHeld) {
             held.poll();
@@ -47,13 +51,17 @@
         held.add(new Held<>(lastBegun, message));
     }
 
-    /** All writes up to that number are done. @return the messages that waited for no later one, in their order */
+    /**
+     * Reports that all writes up to this number are done.
+     *
+     * @return the messages that no longer wait for a write, in order
+     */
     List<T> done(long number) {
         lastDone = Math.max(lastDone, number);
-        List<T> free = new ArrayList<>();
+        List<T> ready = new ArrayList<>();
         while (!held.isEmpty() && held.peek().number() <= lastDone) {
-            free.add(held.poll().message());
+            ready.add(held.poll().message());
         }
-        return free;
+        return ready;
     }
 }
--- a/src/main/java/rowanplank/agreement/EntryLog.java
+++ b/src/main/java/rowanplank/agreement/EntryLog.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * The log in memory: a snapshot, the entries behind it, and a few of those that the snapshot took the place of, so that a
- * voter that is a moment late need not be sent the whole snapshot. Asking for an entry costs O(1).
+ * The log in memory: a snapshot, the entries after it, and some of the entries that the snapshot covers, so that a
+ * voter that lags a little does not need the whole snapshot. Access to an entry after the snapshot costs O(1).
  *
- * <p>Bound: {@value #MAX_TRAILING_ENTRIES} entries before the snapshot, and so many of their bytes as its owner allows.
+ * <p>Limits: {@value #MAX_TRAILING_ENTRIES} covered entries, and as many bytes of them as the owner allows.
  */
 final class EntryLog {
     private static final int MAX_TRAILING_ENTRIES = 256;
@@ -18,17 +18,17 @@
     private final int maxTrailingBytes;
     private Snapshot snapshot;
     private final List<Entry> entries;
-    /** Entries up to the snapshot's, without gaps. */
+    /** The last entries that the snapshot covers, without gaps. */
     private final Deque<Entry> trailing = new ArrayDeque<>();
     private int trailingBytes;
-    /** The term of the entry before the first that is kept. */
+    /** The term of the entry before the first retained one. */
     private long termBefore;
 
-    /** @param mostTrailingBytes of the entries that are kept before the snapshot */
-    EntryLog(Snapshot snapshot, List<Entry> entries, int mostTrailingBytes) {
+    /** @param maxTrailingBytes limit of the retained entries that the snapshot covers */
+    EntryLog(Snapshot snapshot, List<Entry> entries, int maxTrailingBytes) {
         this.snapshot = snapshot;
         this.entries = new ArrayList<>(entries);
-        this.maxTrailingBytes = mostTrailingBytes;
+        this.maxTrailingBytes = maxTrailingBytes;
         termBefore = snapshot.term();
     }
 
@@ -36,11 +36,12 @@
         return snapshot;
     }
 
+    /** The index of the first entry after the snapshot. */
     long first() {
         return snapshot.index() + 1;
     }
 
-    /** The first entry that can still be sent. */
+    /** The index of the first entry that can still be sent. */
     long firstRetained() {
         return first() - trailing.size();
     }
@@ -61,7 +62,7 @@
         return entries.get((int) (index - first()));
     }
 
-    /** @return -1 where it is not known: too long before the snapshot's entry, or behind the last */
+    /** @return the term of an entry; -1 if it is unknown because it is no longer retained or does not exist yet */
     long term(long index) {
         if (index == snapshot.index()) {
             return snapshot.term();
@@ -86,47 +87,50 @@
 
     void append(Entry entry) {
         if (entry.index() != last() + 1) {
-            throw new IllegalArgumentException("entry " + entry.index() + " behind " + last());
+            throw new IllegalArgumentException("entry " + entry.index() + " does not follow entry " + last());
         }
         entries.add(entry);
     }
 
-    /** Drops this entry and all behind it. */
+    /** Removes this entry and all later ones. */
     void truncateFrom(long index) {
         entries.subList((int) (index - first()), entries.size()).clear();
     }
 
-    /** From this entry on, so many as fit, at least one if there is one. */
-    List<Entry> entriesFrom(long index, int mostBytes) {
+    /** Entries from this index on, as many as fit into the limit, but at least one if there is one. */
+    List<Entry> entriesFrom(long index, int maxBytes) {
         List<Entry> found = new ArrayList<>();
         int bytes = 0;
         Iterator<Entry> old = trailing.iterator();
-        while (old.hasNext() && bytes <= mostBytes) {
+        while (old.hasNext() && bytes <= maxBytes) {
             Entry entry = old.next();
             if (entry.index() >= index) {
                 bytes += entry.bytes();
-                addIfFits(found, entry, bytes, mostBytes);
+                addIfFits(found, entry, bytes, maxBytes);
             }
         }
-        for (long i = Math.max(index, first()); i <= last() && bytes <= mostBytes; i++) {
+        for (long i = Math.max(index, first()); i <= last() && bytes <= maxBytes; i++) {
             bytes += get(i).bytes();
-            addIfFits(found, get(i), bytes, mostBytes);
+            addIfFits(found, get(i), bytes, maxBytes);
         }
         return found;
     }
 
-    private static void addIfFits(List<Entry> found, Entry entry, int bytes, int mostBytes) {
-        if (bytes <= mostBytes || found.isEmpty()) {
+    private static void addIfFits(List<Entry> found, Entry entry, int bytes, int maxBytes) {
+        if (bytes <= maxBytes || found.isEmpty()) {
             found.add(entry);
         }
     }
 
-    /** All entries behind the snapshot. */
+    /** All entries after the snapshot. */
     List<Entry> entriesAfterSnapshot() {
         return List.copyOf(entries);
     }
 
-    /** The snapshot takes the place of the entries up to it; those behind it stay where they follow from it. */
+    /**
+     * Installs a snapshot in place of the entries that it covers. Later entries are kept if they follow from it,
+     * otherwise all are dropped.
+     */
     void replaceSnapshot(Snapshot newer) {
         if (newer.index() >= snapshot.index() && term(newer.index()) == newer.term()) {
             List<Entry> replaced = entries.subList(0, (int) (newer.index() - snapshot.index()));
@@ -151,12 +155,12 @@
         }
     }
 
-    /** Who votes by the last entry that says so, decided or not. */
+    /** The voter configuration of the latest entry that has one, committed or not. */
     VoterConfig voterConfig() {
         return voterConfigAfter(last());
     }
 
-    /** Who votes after this entry, which is not older than the snapshot. */
+    /** The voter configuration after this entry, which must not be older than the snapshot. */
     VoterConfig voterConfigAfter(long index) {
         for (long i = index; i >= first(); i--) {
             if (get(i).membership() != null) {
@@ -166,7 +170,7 @@
         return VoterConfig.of(snapshot.voters());
     }
 
-    /** The last entry that changes the voters; 0 if there is none behind the snapshot. */
+    /** The index of the last entry that changes the voters; 0 if there is none after the snapshot. */
     long lastVoterChange() {
         for (long i = last(); i >= first(); i--) {
             if (get(i).membership() != null) {
--- a/src/main/java/rowanplank/agreement/PeerProgress.java
+++ b/src/main/java/rowanplank/agreement/PeerProgress.java
@@ -3,34 +3,41 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** What a leader knows of another voter, and what it sends next. */
+/** What a leader knows about another voter or learner, and what to send to it next. */
 final class PeerProgress {
     final String name;
-    /** Up to here its log is known to be alike, and on its disk. */
+    /** The last index up to which its log is on its disk and known to match. */
     long matchIndex;
-    /** What it is sent next. */
+    /** The index of the next entry to send. */
     long nextIndex;
     /** The latest of the leader's rounds that it has answered. */
     long lastRound;
-    /** The round of its last refusal: an older one that comes late says nothing. */
+    /** The round of its last rejection; rejections of earlier rounds are outdated. */
     long rejectedRound;
-    /** How many messages with entries are on their way. */
+    /** The number of messages with entries that it has not answered yet. */
     int appendsInFlight;
-    /** The snapshot that is on its way to it; null where none is. */
+    /** The snapshot being sent to it; null if there is none. */
     Snapshot snapshotInTransfer;
-    /** How much of it is there. */
+    /** How many bytes of that snapshot it has received. */
     int bytesReceived;
-    /** When its last piece was sent; null where the next one is to be sent at once. */
+    /** When the last chunk was sent; null if the next one is to be sent at once. */
     Instant chunkSentAt;
+    /** When its last message arrived. */
     Instant lastHeard;
-    /** Whether its log is known to be alike up to {@link #matchIndex}; until then it is sent the same again. */
+    /**
+     * Whether {@link #nextIndex} is known to follow the last matching entry; until then the same entries are sent
+     * again.
+     */
     private boolean probed;
     private long previousMatchIndex;
-    /** Since when it has made no progress. */
+    /** Since when its {@link #matchIndex} has not changed. */
     private Instant stalledSince;
-    /** It may have less than it had told of: the round of the leader's when it first seemed so; 0 where nothing says so. */
+    /**
+     * The leader's round in which it first seemed to have lost entries that it had acknowledged; 0 if there is no such
+     * doubt.
+     */
     private long doubtRound;
-    /** It has said that it has less than it had told of before: its state is an older copy. */
+    /** Whether it has lost entries that it had acknowledged, because its state was replaced by an older copy. */
     boolean regressed;
 
     PeerProgress(String name, long next, Instant now) {
@@ -39,6 +46,7 @@
         lastHeard = now;
     }
 
+    /** Entries were sent; the following ones are sent without waiting for the answer once probing is done. */
     void onAppendSent(int entries) {
         if (probed && entries > 0) {
             nextIndex += entries;
@@ -46,6 +54,7 @@
         }
     }
 
+    /** It has acknowledged that its log matches up to this index. */
     void onMatch(long index) {
         doubtRound = 0;
         matchIndex = Math.max(matchIndex, index);
@@ -58,47 +67,53 @@
     }
 
     /**
-     * What it may have alike is also little where only the end of its log differs and the message before that end was
-     * lost. So a first refusal raises a doubt; from then on it is sent what stands right behind {@link #matchIndex}, and who
-     * refuses that, in a later round than any message before, has lost what it had.
+     * It has rejected entries because its log differs before them. Its hint may be below {@link #matchIndex} although
+     * nothing is lost: when the end of its log differs and the message before that end got lost. So the first such
+     * rejection only raises a doubt, and from then on it is sent what follows {@link #matchIndex}. If it rejects that
+     * too, in a later round than that of any message sent before, it has lost entries.
      *
-     * @param now the leader's round
-     * @return whether it is to be sent something else at once; guards against answers to answers without end
+     * @param hint the last index that may match
+     * @param itsRound the round of the message that it rejected
+     * @param currentRound the leader's current round
+     * @return whether something else is to be sent at once; false prevents an endless exchange of equal messages
      */
-    boolean onRejected(long mayBeAlike, long itsRound, long now) {
-        if (mayBeAlike < matchIndex) {
+    boolean onRejected(long hint, long itsRound, long currentRound) {
+        if (hint < matchIndex) {
             regressed |= doubtRound > 0 && itsRound > doubtRound;
-            doubtRound = doubtRound > 0 ? doubtRound : now;
+            doubtRound = doubtRound > 0 ? doubtRound : currentRound;
         }
         long before = nextIndex;
-        nextIndex = Math.max(matchIndex, mayBeAlike) + 1;
+        nextIndex = Math.max(matchIndex, hint) + 1;
         rejectedRound = itsRound;
         appendsInFlight = 0;
         probed = false;
         return nextIndex != before;
     }
 
-    /** Whether what it says counts towards a majority. */
+    /** Whether its answers count towards a majority. */
     boolean countsTowardsQuorum() {
         return !regressed && doubtRound == 0;
     }
 
     /**
-     * Whether it is to be sent entries, and not only a heartbeat.
+     * Whether the next message may carry entries; otherwise it is only a heartbeat.
      *
-     * @param window how many such messages may be under way
-     * @param onlyProbed not before it is known from where on the log is not alike
+     * @param window the limit of unanswered messages with entries
+     * @param onlyProbed whether entries have to wait until the matching index is known
      */
     boolean maySendEntries(int window, boolean onlyProbed) {
         return appendsInFlight < window && (probed || !onlyProbed);
     }
 
-    /** Once a heartbeat: what was sent and brought no progress for so long is taken for lost. */
-    void resendIfStalled(Instant now, Duration patience) {
+    /**
+     * Called once per heartbeat: messages that brought no progress within the delay are considered lost, and their
+     * entries are sent again.
+     */
+    void resendIfStalled(Instant now, Duration resendDelay) {
         if (stalledSince == null || matchIndex != previousMatchIndex) {
             stalledSince = now;
         }
-        boolean lost = matchIndex == previousMatchIndex && !now.isBefore(stalledSince.plus(patience));
+        boolean lost = matchIndex == previousMatchIndex && !now.isBefore(stalledSince.plus(resendDelay));
         if (probed && lost) {
             nextIndex = matchIndex + 1;
             appendsInFlight = 0;
--- a/src/main/java/rowanplank/agreement/RaftNode.java
+++ b/src/main/java/rowanplank/agreement/RaftNode.java
@@ -13,109 +13,133 @@
 import java.util.TreeSet;
 
 /**
- * One voter's part of a log that is alike at all voters: Raft (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014), with
- * votes asked for beforehand, a leader that steps down where it hears no majority, leadership confirmed by rounds,
- * snapshots in pieces, voters changed one at a time or together (joint consensus), and leadership handed on.
+ * One member of a Raft group, which keeps a replicated log (Ongaro and Ousterhout, 2014; Ongaro's thesis, 2014).
+ * Beyond basic Raft it has pre-vote, a leader that steps down when it loses contact with a majority, leadership
+ * confirmation by heartbeat rounds, snapshots transferred in chunks, voter changes by single steps or by joint
+ * consensus, and leadership transfer.
  *
- * <p>Guaranteed, whatever is lost, late, doubled, out of order, stalled or stopped: at most one leader a term; an entry
- * handed to {@link Actions#committed} stands at that index at every voter for good; a round told to
- * {@link Actions#roundConfirmed} was answered by a majority that had heard of no higher term when it began. Assumed: what was
- * told by {@link #onStored} is still there after a restart, and a name is used by one voter at a time. Time only decides
- * how soon something happens.
+ * <p>Guarantees, even if messages are lost, delayed, duplicated or reordered and processes stall or stop: there is at
+ * most one leader per term; an entry passed to {@link Actions#committed} stays at that index on every voter; a round
+ * reported to {@link Actions#roundConfirmed} was answered by a majority that had not seen a higher term when the round
+ * began. Assumptions: whatever {@link #onStored} reported as written survives a restart, and only one voter uses a
+ * name at a time. Time affects liveness only, never safety.
  *
- * <p>Bounds: {@link Settings#maxUncommitted} entries that are not decided; the log behind the snapshot is as long as the
- * owner lets it grow before {@link #compact}; {@value #MAX_HELD_MESSAGES} messages that wait for the disk, of more the oldest
- * are dropped as if lost; a snapshot of {@value #MAX_SNAPSHOT_BYTES} bytes. A call costs O(voters) and the entries that
- * it moves.
+ * <p>Limits: {@link Settings#maxUncommitted} uncommitted entries; {@value #MAX_HELD_MESSAGES} messages waiting for the
+ * disk, beyond which the oldest are dropped as if they had been lost; {@value #MAX_SNAPSHOT_BYTES} bytes per snapshot.
+ * The log behind the snapshot grows until the owner calls {@link #compact}. A call costs O(voters) plus the entries it
+ * moves.
  */
 public class RaftNode {
+    /** The largest snapshot that a voter accepts. */
     public static final int MAX_SNAPSHOT_BYTES = 8 << 20;
     private static final int MAX_HELD_MESSAGES = 1000;
-    /** So many messages with entries may be on their way to a voter that has not answered. */
+    /** The limit of unacknowledged messages with entries per peer. */
     private static final int MAX_APPENDS_IN_FLIGHT = 8;
-    /** Rounds that are wanted in quick succession become one. */
+    /** Round requests that arrive within this time of each other are merged into one round. */
     private static final Duration ROUND_BATCH_DELAY = Duration.ofMillis(3);
-    /** Who reaches a majority before it has heard of any leader asks for votes within this time. */
+    /**
+     * A voter that can reach a majority, but has not heard of a leader since its start, starts an election after a
+     * random part of this time.
+     */
     private static final Duration FIRST_ELECTION_JITTER = Duration.ofMillis(40);
-    /** For so long a voter then leaves the election to another one that has asked first. */
+    /** How long a voter holds back its own election in favor of another candidate that asked first. */
     private static final Duration YIELD_DURATION = Duration.ofMillis(250);
-    /** So often; then it asks whatever the others do, so that nobody waits for ever for one that can't win. */
+    /**
+     * How often a voter yields like this. Then it starts an election anyway, so that it does not wait forever for a
+     * candidate that cannot win.
+     */
     private static final int MAX_YIELDS = 3;
 
-    /** What a voter is doing. */
+    /** The role of a voter. {@code ASKING} is a pre-candidate: it is gathering pre-votes. */
     public enum Role { FOLLOWER, ASKING, CANDIDATE, LEADER }
 
     /**
+     * The configuration of a node.
+     *
      * @param self this voter's name
-     * @param electionTimeout without a leader for one to two of these, a voter stands; a leader without a majority steps down
-     * @param firstElectionTimeout takes the place of {@code election} until a voter has heard of a leader since its start: it asks
-     *     whether it would get the votes that much sooner. Voters that hear a leader say nothing to that
-     * @param heartbeatInterval how often a leader is heard at least
-     * @param maxMessageBytes of the entries, or the piece of a snapshot, in one message
+     * @param electionTimeout a voter that hears no leader for between one and two of these starts an election; a
+     *     leader that hears no majority for one steps down
+     * @param firstElectionTimeout replaces {@code electionTimeout} until the voter first hears of a leader. It may be
+     *     shorter, since it only makes pre-votes start earlier, which voters that hear a leader ignore
+     * @param heartbeatInterval the longest time between two messages of a leader to a peer
+     * @param maxMessageBytes limit of the entries, or of the snapshot chunk, in one message
+     * @param maxUncommitted limit of proposed entries that are not committed yet
      * @param transport how messages travel
+     * @param seed of the random election timeouts
      */
-    public record Settings(String self, Duration electionTimeout, Duration firstElectionTimeout, Duration heartbeatInterval, int maxMessageBytes,
-            int maxUncommitted, Transport transport, long seed) {
-        /** With the first election no sooner than later ones, over messages that get lost. */
-        public Settings(String self, Duration election, Duration heartbeat, int mostBytes, int mostUndecided, long seed) {
-            this(self, election, election, heartbeat, mostBytes, mostUndecided, Transport.DATAGRAMS, seed);
+    public record Settings(String self, Duration electionTimeout, Duration firstElectionTimeout,
+            Duration heartbeatInterval, int maxMessageBytes, int maxUncommitted, Transport transport, long seed) {
+        /** Settings for a datagram transport, with the same timeout for the first election. */
+        public Settings(String self, Duration electionTimeout, Duration heartbeatInterval, int maxMessageBytes,
+                int maxUncommitted, long seed) {
+            this(self, electionTimeout, electionTimeout, heartbeatInterval, maxMessageBytes, maxUncommitted,
+                    Transport.DATAGRAMS, seed);
         }
 
-        /** Over messages that get lost. */
-        public Settings(String self, Duration election, Duration firstElection, Duration heartbeat, int mostBytes,
-                int mostUndecided, long seed) {
-            this(self, election, firstElection, heartbeat, mostBytes, mostUndecided, Transport.DATAGRAMS, seed);
+        /** Settings for a datagram transport. */
+        public Settings(String self, Duration electionTimeout, Duration firstElectionTimeout,
+                Duration heartbeatInterval, int maxMessageBytes, int maxUncommitted, long seed) {
+            this(self, electionTimeout, firstElectionTimeout, heartbeatInterval, maxMessageBytes, maxUncommitted,
+                    Transport.DATAGRAMS, seed);
         }
     }
 
-    /** How messages travel, which says when one that brought no answer is sent again. */
+    /** The transport, which determines when an unanswered message is sent again. */
     public enum Transport {
-        /** Any message may be lost: again with the next heartbeat. */
+        /** Any message may be lost; unanswered ones are sent again with the next heartbeat. */
         DATAGRAMS(Duration.ZERO, 0, false),
         /**
-         * Lost with its connection only ({@link #onReconnected} is told of a new one), and slow where a link is slow: what is
-         * sent again too soon would only make it slower.
+         * Messages are only lost along with their connection ({@link #onReconnected} reports a new one), but links may
+         * be slow, and retransmitting too early would slow them down further.
          */
         CONNECTIONS(Duration.ofSeconds(5), 1 << 20, true);
 
         private final Duration resendDelay;
-        /** Of the entries kept before the snapshot, for voters that are a moment late. */
+        /** Bytes of entries covered by the snapshot that are kept for voters that lag a little. */
         private final int trailingBytes;
-        /** Whether entries are sent only once it is known where they belong. */
+        /** Whether entries are sent only after the last matching index of the peer has been found. */
         private final boolean probesFirst;
 
-        Transport(Duration patience, int trailingBytes, boolean probesFirst) {
-            this.resendDelay = patience;
+        Transport(Duration resendDelay, int trailingBytes, boolean probesFirst) {
+            this.resendDelay = resendDelay;
             this.trailingBytes = trailingBytes;
             this.probesFirst = probesFirst;
         }
     }
 
-    /** What it asks of its owner; none of these calls back into it. */
+    /** Callbacks to the owner. Implementations must not call back into the node. */
     public interface Actions {
+        /** Sends a message to another voter; it may get lost. */
         void send(String to, Message message);
 
-        /** Put this on disk, in the order of the numbers; {@link #onStored} is to be called once it is there. */
+        /**
+         * Writes to stable storage, in the order of the numbers. {@link #onStored} has to be called once the write is
+         * durable.
+         */
         void store(long number, Write write);
 
-        /** Each decided entry, once and in order. */
+        /** Called for each committed entry, once and in order. */
         void committed(Entry entry);
 
-        /** The state machine is to be as this snapshot has it. */
+        /** Replaces the state machine's state with this snapshot. */
         void restore(Snapshot snapshot);
 
-        /** It leads, and has handed over all entries that were decided under earlier leaders. */
+        /** This node is the leader and has passed on all entries that earlier leaders committed. */
         void becameLeader(long term);
 
-        /** It leads no more; what was proposed and not handed over may or may not be decided yet. */
+        /**
+         * This node is no longer the leader. Proposals that were not passed to {@link #committed} yet may or may not
+         * be committed later.
+         */
         void lostLeadership();
 
-        /** A majority has answered this round, and thereby all before it. */
+        /** A majority has answered this round, which also confirms all earlier rounds. */
         void roundConfirmed(long round);
     }
 
     private record OutboundMessage(String to, Message message) { }
 
+    /** Entries up to {@code lastIndex} whose write with this number is not durable yet. */
     private record PendingAppend(long number, long lastIndex) { }
 
     private final Settings settings;
@@ -132,18 +156,20 @@
     private String leader;
     private Instant leaderLastHeard;
     private Instant electionDue;
-    /** Whether a leader has been heard, or this voter has led, since its start. */
+    /** Whether this voter has heard a leader, or has been one, since its start. */
     private boolean hasHeardLeader;
-    /** Whether the owner tells who can be reached. */
+    /** Whether the owner calls {@link #setReachable}. */
     private boolean isReachabilityKnown;
     private int yieldCount;
     private final TreeSet<String> votesGranted = new TreeSet<>();
 
-    /** As a leader. */
+    /** The other voters and the learners; maintained by the leader only. */
     private final Map<String, PeerProgress> peers = new TreeMap<>();
-    /** Who gets the log without a vote. */
+    /** Nodes that receive the log but have no vote. */
     private final TreeSet<String> learners = new TreeSet<>();
+    /** The index of the no-op entry that this leader appended at the start of its term. */
     private long noOpIndex;
+    /** Whether the no-op entry of this leader is committed. */
     private boolean established;
     private Instant heartbeatDue;
     private Instant roundStartedAt;
@@ -155,12 +181,17 @@
 
     private final DurabilityBarrier<OutboundMessage> diskBarrier = new DurabilityBarrier<>(MAX_HELD_MESSAGES);
     private long ownVoteWrite;
+    /** The last index of this voter's own log that is on disk. */
     private long durableIndex;
     private final Deque<PendingAppend> pendingAppends = new ArrayDeque<>();
 
     private final SnapshotAssembler incomingSnapshot = new SnapshotAssembler();
 
-    /** @param saved what is on disk: the owner's state machine is to be as its snapshot has it */
+    /**
+     * Creates a node as a follower.
+     *
+     * @param saved the state read from disk. The owner's state machine has to match its snapshot
+     */
     public RaftNode(Settings settings, PersistentState saved, Instant now, Actions actions) {
         this.settings = settings;
         this.actions = actions;
@@ -175,7 +206,7 @@
         awaitElection(now, settings.firstElectionTimeout());
     }
 
-    // ---- asked
+    // ---- queries
 
     public Role role() {
         return role;
@@ -185,21 +216,22 @@
         return term;
     }
 
-    /** Who leads, as far as this voter knows; null where it knows of nobody. */
+    /** The name of the current leader as far as this voter knows; null if it knows of none. */
     public String leader() {
         return leader;
     }
 
+    /** The voters of the current configuration, without those that a change under way removes. */
     public List<String> voters() {
         return voterConfig.voters();
     }
 
-    /** Who votes, with those that are on their way out. */
+    /** The current voter configuration, including voters that are being removed. */
     public VoterConfig voterConfig() {
         return voterConfig;
     }
 
-    /** Whether the last change of the voters is decided; until then no other one is taken. */
+    /** Whether the last voter change is committed. No other change is accepted before. */
     public boolean isVoterChangeCommitted() {
         return log.lastVoterChange() <= lastCommitted;
     }
@@ -212,46 +244,49 @@
         return log.last();
     }
 
-    /** How many entries stand behind the snapshot. */
+    /** The number of entries after the snapshot. */
     public int logSize() {
         return log.size();
     }
 
-    /** How many entries up to {@link #commitIndex} stand behind the snapshot. */
+    /** The number of committed entries after the snapshot. */
     public long committedSinceSnapshot() {
         return lastCommitted - log.snapshot().index();
     }
 
-    /** Whether it leads and has all that was decided before: only then may it answer for the state machine. */
+    /**
+     * Whether this node is the leader and has applied everything committed before its term. Only then may it serve
+     * reads of the state machine.
+     */
     public boolean isEstablished() {
         return role == Role.LEADER && established;
     }
 
-    /** Of a leader: up to where a voter's log is known to be alike. */
+    /** On the leader: the last index of each peer's log that is known to match. */
     public Map<String, Long> matchIndexes() {
         Map<String, Long> found = new TreeMap<>();
         peers.values().forEach(p -> found.put(p.name, p.matchIndex));
         return found;
     }
 
-    /** Of a leader: voters that have less on disk than they had told of to it. */
+    /** On the leader: voters that lost entries which they had acknowledged to it before. */
     public List<String> regressedVoters() {
         return peers.values().stream().filter(p -> p.regressed).map(p -> p.name).toList();
     }
 
-    /** When {@link #onTime} is to be called next; null where nothing is due. */
+    /** When {@link #onTime} has to be called next; null if nothing is due. */
     public Instant due() {
         if (role != Role.LEADER) {
             return mayStartElection() ? electionDue : null;
         }
-        Instant gathered = roundStartedAt.plus(ROUND_BATCH_DELAY);
-        return isRoundRequested && gathered.isBefore(heartbeatDue) ? gathered : heartbeatDue;
+        Instant batchEnd = roundStartedAt.plus(ROUND_BATCH_DELAY);
+        return isRoundRequested && batchEnd.isBefore(heartbeatDue) ? batchEnd : heartbeatDue;
     }
 
     /**
-     * Who has a vote stands, and who had one until a change that is not decided yet: it may be the only one that holds the
-     * change, and the others then choose nobody who does not (section 4.2.2 of Ongaro's thesis). Its own vote counts
-     * where it has one.
+     * Voters may start an election, and so may a node that had a vote before a voter change that is not committed yet.
+     * It may be the only node that has the entry of that change, and the others elect nobody without it (section 4.2.2
+     * of Ongaro's thesis). Its own vote counts only if it has one.
      */
     private boolean mayStartElection() {
         long change = log.lastVoterChange();
@@ -269,18 +304,19 @@
         return others;
     }
 
-    /** Who decides now. */
+    /** The voter configuration whose majorities are required now. */
     protected VoterConfig decidingConfig() {
         return voterConfig;
     }
 
-    /** How many of so many voters decide. */
+    /** The number of voters that make a majority. */
     protected int majority(int voters) {
         return voters / 2 + 1;
     }
 
     // ---- time
 
+    /** Runs whatever is due: heartbeats and requested rounds on the leader, elections elsewhere. */
     public void onTime(Instant now) {
         if (role == Role.LEADER) {
             if (!now.isBefore(heartbeatDue)) {
@@ -298,23 +334,23 @@
     }
 
     private void awaitElection(Instant now, Duration wait) {
-        long least = wait.toNanos();
-        electionDue = now.plusNanos(least + random.nextLong(least));
+        long min = wait.toNanos();
+        electionDue = now.plusNanos(min + random.nextLong(min));
     }
 
     /**
-     * Tells which voters can be reached, there and back. Until a leader has been heard, a voter that reaches a majority asks
-     * for votes at once, in place of waiting for an election's time that is meant for leaders that fall silent.
+     * Reports which voters can be reached in both directions. Until it has heard a leader, a voter that reaches a
+     * majority starts an election almost at once, since the election timeout is meant for leaders that fall silent.
      */
     public void setReachable(Instant now, Collection<String> names) {
         isReachabilityKnown = true;
-        boolean mayAsk = role == Role.FOLLOWER || role == Role.ASKING;
-        if (hasHeardLeader || !mayAsk || yieldCount > 0 || !mayStartElection() || !reachesMajority(names)) {
+        boolean mayStartEarly = role == Role.FOLLOWER || role == Role.ASKING;
+        if (hasHeardLeader || !mayStartEarly || yieldCount > 0 || !mayStartElection() || !reachesMajority(names)) {
             return;
         }
-        Instant turn = now.plusNanos(random.nextLong(FIRST_ELECTION_JITTER.toNanos()));
-        if (turn.isBefore(electionDue)) {
-            electionDue = turn;
+        Instant earlyDue = now.plusNanos(random.nextLong(FIRST_ELECTION_JITTER.toNanos()));
+        if (earlyDue.isBefore(electionDue)) {
+            electionDue = earlyDue;
         }
     }
 
@@ -323,7 +359,7 @@
                 this::majority) == 1;
     }
 
-    /** What a voter waits for that has not heard of a leader yet is a shorter time. */
+    /** The election timeout, which is shorter until a leader has been heard. */
     private Duration nextElectionTimeout() {
         return isReachabilityKnown && !hasHeardLeader ? settings.firstElectionTimeout() : settings.electionTimeout();
     }
@@ -363,7 +399,10 @@
 
     // ---- elections
 
-    /** Would I get the votes? Guards against a voter that was cut off and comes back with a high term. */
+    /**
+     * Asks for pre-votes: whether the others would vote for this node. This keeps a voter that was partitioned away
+     * from returning with a high term and deposing the leader.
+     */
     private void startPreVote(Instant now) {
         awaitElection(now, leaderLastHeard == null ? settings.firstElectionTimeout() : settings.electionTimeout());
         role = Role.ASKING;
@@ -401,15 +440,15 @@
     }
 
     private void onVoteRequest(Instant now, String from, Message.VoteRequest m) {
-        boolean content = role == Role.LEADER
+        boolean hasLeader = role == Role.LEADER
                 || leader != null && leaderLastHeard.plus(settings.electionTimeout()).isAfter(now);
-        if (m.term() > term && content && !m.handover()) {
-            return; // whoever hears its leader helps nobody to unseat it
+        if (m.term() > term && hasLeader && !m.handover()) {
+            return; // a voter that hears its leader does not support an election
         }
         if (m.pre()) {
-            boolean would = m.term() > term && isUpToDate(m);
-            send(from, new Message.VoteResponse(would ? m.term() : term, true, would));
-            if (would) {
+            boolean wouldGrant = m.term() > term && isUpToDate(m);
+            send(from, new Message.VoteResponse(wouldGrant ? m.term() : term, true, wouldGrant));
+            if (wouldGrant) {
                 yieldElection(now, from, m);
             }
             return;
@@ -429,14 +468,14 @@
     }
 
     /**
-     * Where nobody has led yet, one is left to win: of two that ask, the one whose log says more, or the first by name.
-     * Without it voters that start together would share out the votes among themselves.
+     * Before the first leader, lets one of several candidates win: the one whose log is more up to date, or else the
+     * first by name. Otherwise voters that start at the same time would split the vote.
      */
     private void yieldElection(Instant now, String from, Message.VoteRequest m) {
         boolean sameLog = m.lastTerm() == log.lastTerm() && m.lastIndex() == log.last();
-        boolean goesBefore = role == Role.FOLLOWER
+        boolean hasPrecedence = role == Role.FOLLOWER
                 || role == Role.ASKING && (!sameLog || from.compareTo(settings.self()) < 0);
-        if (!isReachabilityKnown || hasHeardLeader || yieldCount == MAX_YIELDS || !goesBefore) {
+        if (!isReachabilityKnown || hasHeardLeader || yieldCount == MAX_YIELDS || !hasPrecedence) {
             return;
         }
         yieldCount++;
@@ -444,7 +483,10 @@
         electionDue = now.plus(YIELD_DURATION).plusNanos(random.nextLong(FIRST_ELECTION_JITTER.toNanos()));
     }
 
-    /** Whether the one who asks has at least what this voter has: only then can nothing decided be missing there. */
+    /**
+     * Whether the candidate's log is at least as up to date as this voter's; only then is no committed entry missing
+     * there.
+     */
     protected boolean isUpToDate(Message.VoteRequest m) {
         return m.lastTerm() > log.lastTerm() || m.lastTerm() == log.lastTerm() && m.lastIndex() >= log.last();
     }
@@ -497,18 +539,19 @@
 
     // ---- messages
 
+    /** Handles a message of another member of the group. */
     public void onMessage(Instant now, String from, Message m) {
-        if (m instanceof Message.VoteRequest ask) {
-            onVoteRequest(now, from, ask);
+        if (m instanceof Message.VoteRequest request) {
+            onVoteRequest(now, from, request);
             return;
         }
-        boolean future = m instanceof Message.VoteResponse r && r.pre() && r.granted();
-        if (m.term() > term && !future) {
+        boolean isPreVoteGrant = m instanceof Message.VoteResponse r && r.pre() && r.granted();
+        if (m.term() > term && !isPreVoteGrant) {
             becomeFollower(now, m.term(), null);
         }
         if (m.term() < term) {
             if (m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk) {
-                send(from, new Message.AppendResponse(term, 0, false, 0)); // so that an old leader hears of the new term
+                send(from, new Message.AppendResponse(term, 0, false, 0)); // tells an old leader the new term
             }
             return;
         }
@@ -517,9 +560,9 @@
         } else if (m instanceof Message.AppendRequest append) {
             recordLeaderContact(now, from);
             onAppend(from, append);
-        } else if (m instanceof Message.SnapshotChunk piece) {
+        } else if (m instanceof Message.SnapshotChunk chunk) {
             recordLeaderContact(now, from);
-            onSnapshotChunk(from, piece);
+            onSnapshotChunk(from, chunk);
         } else if (m instanceof Message.AppendResponse reply) {
             onAppendResponse(now, from, reply);
         } else if (m instanceof Message.SnapshotChunkResponse reply) {
@@ -540,7 +583,7 @@
         awaitElection(now);
     }
 
-    // ---- the log, at those who follow
+    // ---- log replication, follower
 
     private void onAppend(String from, Message.AppendRequest m) {
         long end = m.previous() + m.entries().size();
@@ -549,34 +592,40 @@
             send(from, new Message.AppendResponse(term, m.round(), false, conflictHint(previous)));
             return;
         }
-        List<Entry> fresh = new ArrayList<>();
+        List<Entry> newEntries = new ArrayList<>();
         for (Entry e : m.entries()) {
-            if (!fresh.isEmpty()) {
-                fresh.add(e);
+            if (!newEntries.isEmpty()) {
+                newEntries.add(e);
             } else if (e.index() > previous && log.term(e.index()) != e.term()) {
                 truncateFrom(e.index());
-                fresh.add(e);
+                newEntries.add(e);
             }
         }
-        appendToLog(fresh);
+        appendToLog(newEntries);
         long match = Math.max(end, previous);
         commitTo(Math.min(m.commit(), match));
         send(from, new Message.AppendResponse(term, m.round(), true, match));
     }
 
-    /** Whether all up to the entry before the new ones is alike at the leader: by induction, where that one is. */
+    /**
+     * Whether the log up to the entry before the new ones matches the leader's; by induction it does if that entry has
+     * the same term.
+     */
     protected boolean isLogConsistent(Message.AppendRequest m, long previous) {
         return m.previous() < log.snapshot().index() || log.term(previous) == m.previousTerm();
     }
 
-    /** Before this entry, or before all of its term, so that a leader passes over a whole term at once. */
+    /**
+     * A guess of the last matching index: the entry before all entries of the conflicting term, so that the leader
+     * skips a whole term per message.
+     */
     private long conflictHint(long previous) {
         if (previous > log.last()) {
             return log.last();
         }
-        long other = log.term(previous);
+        long conflictingTerm = log.term(previous);
         long i = previous - 1;
-        while (i > lastCommitted && log.term(i) == other) {
+        while (i > lastCommitted && log.term(i) == conflictingTerm) {
             i--;
         }
         return Math.max(i, lastCommitted);
@@ -587,7 +636,8 @@
             return;
         }
         if (index <= lastCommitted) {
-            throw new IllegalStateException("entry " + index + " is decided, and another leader has another one");
+            throw new IllegalStateException("entry " + index
+                    + " is committed here, but the leader has a different one");
         }
         log.truncateFrom(index);
         voterConfig = log.voterConfig();
@@ -616,9 +666,14 @@
         }
     }
 
-    // ---- the log, at the leader
+    // ---- log replication, leader
 
-    /** @return the entry's index; 0 where this voter doesn't lead, or too much is undecided */
+    /**
+     * Appends a command to the log.
+     *
+     * @return the entry's index; 0 if this node is not the leader, leadership is being transferred, or too many
+     *     entries are uncommitted
+     */
     public long propose(Instant now, byte[] payload) {
         if (!isEstablished() || transferDeadline != null || log.last() - lastCommitted >= settings.maxUncommitted()) {
             return 0;
@@ -627,30 +682,33 @@
     }
 
     /**
-     * Changes who votes, by one name at a time.
+     * Adds or removes a single voter.
      *
-     * @return the entry's index; 0 where it can't be done now: no leader, or another change is not decided yet
+     * @param changed the new voters, which differ from the current ones by one name
+     * @return the entry's index; 0 if it is not possible now because this node is not the leader or another change is
+     *     not committed yet, or if the difference is not one name
      */
     public long proposeVoterChange(Instant now, List<String> changed) {
-        TreeSet<String> difference = new TreeSet<>(changed);
-        difference.removeAll(voters());
-        TreeSet<String> gone = new TreeSet<>(voters());
-        gone.removeAll(changed);
-        if (!mayChangeVoters() || changed.isEmpty() || difference.size() + gone.size() != 1) {
+        TreeSet<String> added = new TreeSet<>(changed);
+        added.removeAll(voters());
+        TreeSet<String> removed = new TreeSet<>(voters());
+        removed.removeAll(changed);
+        if (!mayChangeVoters() || changed.isEmpty() || added.size() + removed.size() != 1) {
             return 0;
         }
         long index = appendAsLeader(Entry.voterChange(log.last() + 1, term, changed));
-        difference.forEach(name -> peers.putIfAbsent(name, new PeerProgress(name, index + 1, now)));
+        added.forEach(name -> peers.putIfAbsent(name, new PeerProgress(name, index + 1, now)));
         return index;
     }
 
     private boolean mayChangeVoters() {
-        return isEstablished() && transferDeadline == null && log.lastVoterChange() <= lastCommitted && !voterConfig.isJoint();
+        return isEstablished() && transferDeadline == null && log.lastVoterChange() <= lastCommitted
+                && !voterConfig.isJoint();
     }
 
     /**
-     * Sends the log to names that have no vote, in place of those of an earlier call: as a leader only, and until it leads
-     * no more.
+     * Sets the nodes that receive the log without having a vote, replacing those of an earlier call. This has an
+     * effect on the leader only, and lasts until it loses leadership.
      */
     public void setLearners(Instant now, Collection<String> names) {
         if (role != Role.LEADER) {
@@ -665,28 +723,30 @@
         }
     }
 
-    /** Whether a name, with a vote or without, is there and holds on its disk all that is decided; of a leader. */
+    /** On the leader: whether a voter or learner responds and has every committed entry on disk. */
     public boolean hasAllCommitted(String name) {
         PeerProgress p = peers.get(name);
-        return name.equals(settings.self()) || p != null && p.countsTowardsQuorum() && p.matchIndex >= lastCommitted && hasHeardRecently(name, roundStartedAt);
+        return name.equals(settings.self()) || p != null && p.countsTowardsQuorum() && p.matchIndex >= lastCommitted
+                && hasHeardRecently(name, roundStartedAt);
     }
 
     /**
-     * Puts one group of voters in place of another as one step (joint consensus): until it is over, majorities of both are
-     * needed. Newcomers have to hold all that is decided, as {@link #learners}, before they get a vote.
+     * Replaces the voters by joint consensus: until the change is complete, majorities of both the old and the new
+     * voters are required. New voters must have received all committed entries, as learners ({@link #setLearners}),
+     * before they get a vote.
      *
-     * @return the first entry of the change; 0 where it can't be done now: no leader, another change is not decided yet, or
-     *     a newcomer lacks something
+     * @return the index of the first entry of the change; 0 if it is not possible now because this node is not the
+     *     leader, another change is not committed yet, or a new voter is not caught up
      */
     public long proposeJointChange(List<String> changed) {
-        boolean allThere = changed.stream().allMatch(name -> voters().contains(name) || hasAllCommitted(name));
-        if (!mayChangeVoters() || !allThere || changed.isEmpty() || changed.equals(voters())) {
+        boolean allCaughtUp = changed.stream().allMatch(name -> voters().contains(name) || hasAllCommitted(name));
+        if (!mayChangeVoters() || !allCaughtUp || changed.isEmpty() || changed.equals(voters())) {
             return 0;
         }
         return appendAsLeader(Entry.configChange(log.last() + 1, term, voterConfig.transitionTo(changed)));
     }
 
-    /** There is a new connection to a voter: what was under way on the one before is lost. */
+    /** Reports a new connection to a voter: messages in flight on the previous one are lost. */
     public void onReconnected(Instant now, String name) {
         PeerProgress p = peers.get(name);
         if (role == Role.LEADER && p != null) {
@@ -712,35 +772,45 @@
             return;
         }
         p.snapshotInTransfer = null;
-        List<Entry> entries = p.maySendEntries(MAX_APPENDS_IN_FLIGHT, settings.transport().probesFirst) ? log.entriesFrom(p.nextIndex, settings.maxMessageBytes()) : List.of();
-        send(p.name, new Message.AppendRequest(term, p.nextIndex - 1, log.term(p.nextIndex - 1), lastCommitted, round, entries));
+        List<Entry> entries = p.maySendEntries(MAX_APPENDS_IN_FLIGHT, settings.transport().probesFirst)
+                ? log.entriesFrom(p.nextIndex, settings.maxMessageBytes()) : List.of();
+        send(p.name, new Message.AppendRequest(term, p.nextIndex - 1, log.term(p.nextIndex - 1), lastCommitted, round,
+                entries));
         p.onAppendSent(entries.size());
     }
 
-    /** Whether a snapshot that is on its way is sent to its end, though there is a newer one. */
+    /** Whether the transfer of a snapshot is completed even if there is a newer snapshot. */
     protected boolean keepsStartedSnapshot() {
         return true;
     }
 
-    /** A snapshot that is on its way stays the same until it is there, however many newer ones there are meanwhile. */
+    /**
+     * Sends the next chunk of a snapshot. A transfer that has started keeps its snapshot until it is complete, however
+     * many newer ones appear meanwhile.
+     */
     private void sendChunk(Instant now, PeerProgress p) {
-        if (p.snapshotInTransfer == null || !keepsStartedSnapshot() && p.snapshotInTransfer.index() != log.snapshot().index()) {
+        if (p.snapshotInTransfer == null || !keepsStartedSnapshot()
+                && p.snapshotInTransfer.index() != log.snapshot().index()) {
             p.snapshotInTransfer = log.snapshot();
             p.bytesReceived = 0;
             p.chunkSentAt = null;
         }
         Snapshot s = p.snapshotInTransfer;
-        boolean again = p.chunkSentAt == null || !now.isBefore(p.chunkSentAt.plus(settings.transport().resendDelay));
-        int length = again ? Math.min(chunkCapacity(s.voters()), s.data().length - p.bytesReceived) : 0;
+        boolean isDue = p.chunkSentAt == null || !now.isBefore(p.chunkSentAt.plus(settings.transport().resendDelay));
+        int length = isDue ? Math.min(chunkCapacity(s.voters()), s.data().length - p.bytesReceived) : 0;
         byte[] bytes = new byte[length];
         System.arraycopy(s.data(), p.bytesReceived, bytes, 0, length);
-        send(p.name, new Message.SnapshotChunk(term, round, s.index(), s.term(), s.voters(), s.data().length, p.bytesReceived, bytes));
-        if (again) {
+        send(p.name, new Message.SnapshotChunk(term, round, s.index(), s.term(), s.voters(), s.data().length,
+                p.bytesReceived, bytes));
+        if (isDue) {
             p.chunkSentAt = now;
         }
     }
 
-    /** Guards against pieces that no datagram holds: the voters' names go with each, and may be long. */
+    /**
+     * The bytes left for a chunk. Each chunk carries the voters' names, and long names must not push it over the size
+     * of a datagram.
+     */
     private int chunkCapacity(List<String> names) {
         int taken = names.stream().mapToInt(n -> n.length() + 1).sum();
         return Math.max(settings.maxMessageBytes() / 4, settings.maxMessageBytes() - taken);
@@ -751,7 +821,7 @@
         if (p == null) {
             return;
         }
-        boolean goesBack = !m.ok() && m.round() >= p.rejectedRound && m.match() + 1 < p.nextIndex
+        boolean isResendNeeded = !m.ok() && m.round() >= p.rejectedRound && m.match() + 1 < p.nextIndex
                 && p.onRejected(m.match(), m.round(), round);
         recordPeerContact(now, p, m.round());
         if (m.ok()) {
@@ -761,7 +831,7 @@
             if (role == Role.LEADER && p.nextIndex <= log.last() && p.appendsInFlight < MAX_APPENDS_IN_FLIGHT) {
                 sendTo(now, p);
             }
-        } else if (goesBack) {
+        } else if (isResendNeeded) {
             sendTo(now, p);
         }
     }
@@ -772,11 +842,11 @@
         advanceConfirmedRound();
     }
 
-    /** What a majority has on disk is decided. */
+    /** Commits what a majority has on disk. */
     private void advanceCommitIndex(Instant now) {
-        long decided = decidingConfig().quorumValue(this::durableIndexOf, this::majority);
-        if (decided > lastCommitted && mayCommitByCounting(decided)) {
-            commitTo(decided);
+        long majorityIndex = decidingConfig().quorumValue(this::durableIndexOf, this::majority);
+        if (majorityIndex > lastCommitted && mayCommitByCounting(majorityIndex)) {
+            commitTo(majorityIndex);
             continueVoterChange(now);
         }
     }
@@ -789,14 +859,17 @@
         return p == null || !p.countsTowardsQuorum() ? 0 : p.matchIndex;
     }
 
-    /** Of earlier terms nothing is decided by counting (section 5.4.2 of the paper), only by what stands behind it. */
+    /**
+     * Entries of earlier terms are not committed by counting replicas (section 5.4.2 of the paper), only along with a
+     * later entry of the current term.
+     */
     protected boolean mayCommitByCounting(long index) {
         return log.term(index) == term;
     }
 
     /**
-     * After a decided change of the voters: a joint step is followed by the last one; those that are none any more hear
-     * nothing more, this one steps down.
+     * Continues after a committed voter change. A joint configuration is followed by the final one. After the final
+     * one, removed nodes get no more messages, and a leader that was removed steps down.
      */
     private void continueVoterChange(Instant now) {
         if (log.lastVoterChange() > lastCommitted) {
@@ -807,7 +880,7 @@
             return;
         }
         if (!isVoter()) {
-            beginRound(now); // so that the others hear that the change is decided
+            beginRound(now); // tells the others that the change is committed
             becomeFollower(now, term, null);
             return;
         }
@@ -817,14 +890,16 @@
     // ---- snapshots
 
     /**
-     * The state machine as it is now, in place of all entries that were handed over; no effect in the midst of a change of
-     * the voters.
+     * Replaces all entries that were passed to {@link Actions#committed} by a snapshot of the state machine. Has no
+     * effect during a joint configuration.
      *
-     * @throws IllegalArgumentException if it is longer than any voter would take
+     * @param data the state after the last of these entries
+     * @throws IllegalArgumentException if it is larger than {@link #MAX_SNAPSHOT_BYTES}
      */
     public void compact(byte[] data) {
         if (data.length > MAX_SNAPSHOT_BYTES) {
-            throw new IllegalArgumentException("a snapshot of " + data.length + " bytes, over " + MAX_SNAPSHOT_BYTES);
+            throw new IllegalArgumentException("snapshot of " + data.length + " bytes exceeds the limit of "
+                    + MAX_SNAPSHOT_BYTES);
         }
         VoterConfig then = log.voterConfigAfter(lastApplied);
         if (lastApplied > log.snapshot().index() && !then.isJoint()) {
@@ -845,12 +920,12 @@
         if (m.whole() < 0 || m.whole() > MAX_SNAPSHOT_BYTES) {
             return;
         }
-        Snapshot whole = incomingSnapshot.add(m);
-        if (whole == null) {
+        Snapshot snapshot = incomingSnapshot.add(m);
+        if (snapshot == null) {
             send(from, new Message.SnapshotChunkResponse(term, m.round(), m.index(), incomingSnapshot.bytesReceived()));
             return;
         }
-        installSnapshot(whole);
+        installSnapshot(snapshot);
         send(from, new Message.AppendResponse(term, m.round(), true, m.index()));
     }
 
@@ -873,22 +948,22 @@
         recordPeerContact(now, p, m.round());
         if (p.snapshotInTransfer != null && p.snapshotInTransfer.index() == m.index() && m.have() >= 0
                 && m.have() <= p.snapshotInTransfer.data().length) {
-            boolean further = m.have() != p.bytesReceived;
+            boolean hasProgressed = m.have() != p.bytesReceived;
             p.bytesReceived = m.have();
-            if (further) {
+            if (hasProgressed) {
                 p.chunkSentAt = null;
                 sendTo(now, p);
             }
         }
     }
 
-    // ---- leadership confirmed, and handed on
+    // ---- leadership confirmation and transfer
 
     /**
-     * Has a majority confirm that this voter still leads.
+     * Asks a majority to confirm that this node is still the leader.
      *
-     * @return the round: once {@link Actions#roundConfirmed} has told of it or a later one, no other voter had been chosen
-     *     when this was called; 0 where it doesn't lead
+     * @return the number of the round. Once {@link Actions#roundConfirmed} reports it or a later one, no other leader
+     *     had been elected when this method was called; 0 if this node is not the leader
      */
     public long confirmLeadership(Instant now) {
         if (role != Role.LEADER) {
@@ -902,16 +977,16 @@
         return round;
     }
 
-    /** From how many a leader has to hear, itself included, to go on and to have a round confirmed. */
+    /** How many voters, including itself, a leader must hear from to stay leader and to confirm a round. */
     protected int leaderQuorum(int voters) {
         return majority(voters);
     }
 
     private void advanceConfirmedRound() {
-        long by = decidingConfig().quorumValue(this::confirmedRoundOf, this::leaderQuorum);
-        if (by > confirmedRound) {
-            confirmedRound = by;
-            actions.roundConfirmed(by);
+        long newest = decidingConfig().quorumValue(this::confirmedRoundOf, this::leaderQuorum);
+        if (newest > confirmedRound) {
+            confirmedRound = newest;
+            actions.roundConfirmed(newest);
         }
     }
 
@@ -924,10 +999,10 @@
     }
 
     /**
-     * Asks a voter to take over, as this one is about to stop: the first that has all entries, now or as soon as it has
-     * them. Until then, and for an election's length at the most, nothing is proposed here.
+     * Transfers leadership to the first voter that has, or gets, the whole log; used before this node stops. Until
+     * then, but for one election timeout at most, new proposals are rejected here.
      *
-     * @return whether there is anybody to ask; it leads on until another one does
+     * @return whether there is another node to transfer to. This node stays the leader until another one is elected
      */
     public boolean transferLeadership(Instant now) {
         if (role != Role.LEADER || others().isEmpty()) {
@@ -940,7 +1015,8 @@
     }
 
     private void transferIfCaughtUp(PeerProgress p) {
-        if (transferDeadline != null && !isTransferSent && p.countsTowardsQuorum() && p.matchIndex == log.last() && voters().contains(p.name)) {
+        if (transferDeadline != null && !isTransferSent && p.countsTowardsQuorum() && p.matchIndex == log.last()
+                && voters().contains(p.name)) {
             isTransferSent = true;
             send(p.name, new Message.TimeoutNow(term));
         }
@@ -954,13 +1030,13 @@
         return number;
     }
 
-    /** All writes up to this number are on disk. */
+    /** Reports that all writes up to this number are on disk. */
     public void onStored(Instant now, long number) {
-        List<OutboundMessage> free = diskBarrier.done(number);
+        List<OutboundMessage> ready = diskBarrier.done(number);
         while (!pendingAppends.isEmpty() && pendingAppends.peek().number() <= diskBarrier.done()) {
             durableIndex = Math.max(durableIndex, pendingAppends.poll().lastIndex());
         }
-        free.forEach(m -> actions.send(m.to(), m.message()));
+        ready.forEach(m -> actions.send(m.to(), m.message()));
         if (role == Role.CANDIDATE && diskBarrier.done() >= ownVoteWrite) {
             votesGranted.add(settings.self());
             countVotes(now);
@@ -969,11 +1045,15 @@
         }
     }
 
-    /** What rests on a write waits for it; what a leader sends rests on none that is not told by its reply. */
+    /**
+     * Sends a message, after the writes in progress if it may depend on them. A leader's requests and pre-votes never
+     * do: what they claim about a voter's disk is confirmed by responses only.
+     */
     private void send(String to, Message m) {
-        boolean free = m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk || m instanceof Message.TimeoutNow
+        boolean isIndependent = m instanceof Message.AppendRequest || m instanceof Message.SnapshotChunk
+                || m instanceof Message.TimeoutNow
                 || m instanceof Message.VoteRequest a && a.pre() || m instanceof Message.VoteResponse r && r.pre();
-        if (free || !diskBarrier.isBusy()) {
+        if (isIndependent || !diskBarrier.isBusy()) {
             actions.send(to, m);
         } else {
             diskBarrier.hold(new OutboundMessage(to, m));
--- a/src/main/java/rowanplank/agreement/SnapshotAssembler.java
+++ b/src/main/java/rowanplank/agreement/SnapshotAssembler.java
@@ -1,42 +1,42 @@
 package rowanplank.agreement;
 
 /**
- * Puts a snapshot together that comes in pieces. One at a time: a piece of another snapshot begins that one.
+ * Assembles a snapshot from its chunks, one snapshot at a time: a chunk of another snapshot starts over with that one.
  *
- * <p>Bound: the bytes of one snapshot, whose length the caller has checked.
+ * <p>Memory: the bytes of one snapshot, whose length the caller has checked.
  */
 final class SnapshotAssembler {
     private Message.SnapshotChunk first;
     private byte[] buffer;
     private int bytesReceived;
 
-    /** How many bytes are there, without a gap from the beginning on. */
+    /** The number of bytes received without a gap from the start. */
     int bytesReceived() {
         return bytesReceived;
     }
 
     /**
-     * Takes a piece; one that leaves a gap, or was there before, is passed over.
+     * Adds a chunk. A chunk that leaves a gap, or that was added before, is ignored.
      *
-     * @param piece of a snapshot whose whole length is in bounds
-     * @return the snapshot, if this piece was its last; else null
+     * @param chunk a chunk of a snapshot whose total length is within the limit
+     * @return the snapshot if this chunk completed it, else null
      */
-    Snapshot add(Message.SnapshotChunk piece) {
-        if (first == null || first.index() != piece.index() || first.whole() != piece.whole()) {
-            first = piece;
-            buffer = new byte[piece.whole()];
+    Snapshot add(Message.SnapshotChunk chunk) {
+        if (first == null || first.index() != chunk.index() || first.whole() != chunk.whole()) {
+            first = chunk;
+            buffer = new byte[chunk.whole()];
             bytesReceived = 0;
         }
-        if (piece.offset() == bytesReceived && piece.bytes().length <= buffer.length - bytesReceived) {
-            System.arraycopy(piece.bytes(), 0, buffer, bytesReceived, piece.bytes().length);
-            bytesReceived += piece.bytes().length;
+        if (chunk.offset() == bytesReceived && chunk.bytes().length <= buffer.length - bytesReceived) {
+            System.arraycopy(chunk.bytes(), 0, buffer, bytesReceived, chunk.bytes().length);
+            bytesReceived += chunk.bytes().length;
         }
         if (bytesReceived < buffer.length) {
             return null;
         }
-        Snapshot whole = new Snapshot(piece.index(), piece.indexTerm(), piece.voters(), buffer);
+        Snapshot complete = new Snapshot(chunk.index(), chunk.indexTerm(), chunk.voters(), buffer);
         first = null;
         buffer = null;
-        return whole;
+        return complete;
     }
 }
--- a/src/main/java/rowanplank/agreement/VoterConfig.java
+++ b/src/main/java/rowanplank/agreement/VoterConfig.java
@@ -7,11 +7,11 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Who votes. While one group of voters takes the place of another, both decide together (joint consensus, section 6 of the
- * Raft paper): a majority of each is needed, so that neither can decide without the other.
+ * The voter configuration of a Raft group. While one set of voters replaces another, the configuration is joint
+ * (section 6 of the Raft paper): a majority of each set is required, so that neither can decide without the other.
  *
- * @param voters who votes, or will once the change is over
- * @param outgoing who voted before the change that is under way; empty where none is
+ * @param voters the voters, or the future voters during a change
+ * @param outgoing the voters before the change that is under way; empty if there is none
  */
 public record VoterConfig(List<String> voters, List<String> outgoing) {
     public VoterConfig {
@@ -19,12 +19,12 @@
         outgoing = List.copyOf(outgoing);
     }
 
-    /** A group that is not being changed. */
+    /** A configuration without a change under way. */
     public static VoterConfig of(List<String> voters) {
         return new VoterConfig(voters, List.of());
     }
 
-    /** The step that leads from this group to another one. */
+    /** The joint configuration on the way from these voters to other ones. */
     public VoterConfig transitionTo(List<String> changed) {
         return new VoterConfig(changed, voters);
     }
@@ -34,12 +34,12 @@
         return !outgoing.isEmpty();
     }
 
-    /** Whether a name has a vote, before the change or after it. */
+    /** Whether a node has a vote before or after the change. */
     public boolean includes(String name) {
         return voters.contains(name) || outgoing.contains(name);
     }
 
-    /** Everybody who has a vote, before the change or after it. */
+    /** All nodes that have a vote before or after the change. */
     public List<String> allVoters() {
         List<String> all = new ArrayList<>(voters);
         outgoing.stream().filter(name -> !voters.contains(name)).forEach(all::add);
@@ -47,23 +47,23 @@
     }
 
     /**
-     * The largest value that enough voters have reached: of each of the two groups, while there are two.
+     * The largest value that a quorum of voters has reached; in a joint configuration, a quorum of both sets.
      *
-     * @param valueOf what a voter has reached
-     * @param enough how many voters are enough in a group of so many
+     * @param valueOf the value that a voter has reached
+     * @param quorumSize maps the size of a set of voters to its quorum
      */
-    long quorumValue(ToLongFunction<String> valueOf, IntUnaryOperator enough) {
-        long reached = quorumValue(voters, valueOf, enough);
-        return isJoint() ? Math.min(reached, quorumValue(outgoing, valueOf, enough)) : reached;
+    long quorumValue(ToLongFunction<String> valueOf, IntUnaryOperator quorumSize) {
+        long value = quorumValue(voters, valueOf, quorumSize);
+        return isJoint() ? Math.min(value, quorumValue(outgoing, valueOf, quorumSize)) : value;
     }
 
-    private static long quorumValue(List<String> group, ToLongFunction<String> valueOf, IntUnaryOperator enough) {
-        if (group.isEmpty()) {
+    private static long quorumValue(List<String> members, ToLongFunction<String> valueOf, IntUnaryOperator quorumSize) {
+        if (members.isEmpty()) {
             return Long.MIN_VALUE;
         }
         List<Long> values = new ArrayList<>();
-        group.forEach(name -> values.add(valueOf.applyAsLong(name)));
+        members.forEach(name -> values.add(valueOf.applyAsLong(name)));
         Collections.sort(values);
-        return values.get(values.size() - enough.applyAsInt(values.size()));
+        return values.get(values.size() - quorumSize.applyAsInt(values.size()));
     }
 }
--- a/src/main/java/rowanplank/agreement/Write.java
+++ b/src/main/java/rowanplank/agreement/Write.java
@@ -2,12 +2,16 @@
 
 import java.util.List;
 
-/** What is to be on disk before anyone is told of it. */
+/** A write that must be durable before any message reveals it. */
 public sealed interface Write {
-    /** How much it takes on disk, about. */
+    /** The approximate size on disk in bytes. */
     long bytes();
 
-    /** @param vote null for nobody */
+    /**
+     * The term and the vote in it.
+     *
+     * @param vote the candidate; null if none
+     */
     record Vote(long term, String vote) implements Write {
         @Override
         public long bytes() {
@@ -15,7 +19,7 @@
         }
     }
 
-    /** These stand from the first one's index on, in place of whatever stood there and behind. Never empty. */
+    /** Entries that replace everything from the index of the first one on. Never empty. */
     record Entries(List<Entry> entries) implements Write {
         @Override
         public long bytes() {
@@ -23,7 +27,7 @@
         }
     }
 
-    /** This snapshot and what is behind it, in place of all that was written before. */
+    /** The complete state, which replaces everything written before. */
     record FullState(PersistentState saved) implements Write {
         @Override
         public long bytes() {
--- a/src/main/java/rowanplank/fleet/BoundedPrograms.java
+++ b/src/main/java/rowanplank/fleet/BoundedPrograms.java
@@ -9,9 +9,9 @@
 import rowanplank.net.Loop;
 import rowanplank.net.Programs;
 
-/** Programs that may take so long at the most: each is asked to end a little before that, and ended outright at it. */
+/** Starts programs with a time limit: each is asked to stop shortly before its limit, and killed when it is reached. */
 final class BoundedPrograms {
-    /** Of its longest time, a program is asked to end when so much is left, one part in so many. */
+    /** A program is asked to stop when one part in this many of its time limit is left. */
     private static final int STOP_FRACTION = 5;
 
     private final Loop loop;
@@ -24,16 +24,19 @@
         this.log = log;
     }
 
-    /** A program that was started, or is just being started. */
+    /** A program that has been started or is being started. */
     private static final class Run {
         private Programs.Running running;
         private boolean over;
     }
 
     /**
-     * @param what the log calls it
-     * @param ended told the exit status, once
-     * @throws IOException if it can't be started
+     * Starts a program.
+     *
+     * @param what its name in the log
+     * @param longest its time limit
+     * @param ended receives the exit status, once
+     * @throws IOException if it cannot be started
      */
     Programs.Running start(String what, List<String> command, Map<String, String> environment, Duration longest,
             IntConsumer ended) throws IOException {
@@ -52,7 +55,7 @@
         });
         loop.schedule(longest, () -> {
             if (!run.over) {
-                log.warn(what + " took longer than it may, and is ended");
+                log.warn(what + " exceeded its time limit and is killed");
                 run.running.kill();
             }
         });
--- a/src/main/java/rowanplank/fleet/BudgetMapping.java
+++ b/src/main/java/rowanplank/fleet/BudgetMapping.java
@@ -15,20 +15,21 @@
 import rowanplank.ledger.Ledger;
 import rowanplank.ledger.Share;
 
-/** Budgets between the words of the operator's file, those of the ledger, and those that staff read. */
+/** Maps budgets between the configuration, the ledger and the status that operators read. */
 final class BudgetMapping {
-    /** The budgets of page servers are called so, and their ids. */
+    /** The prefix of the budgets of slots at back-end servers; the server's id follows. */
     static final String SLOT_PREFIX = "place/";
-    /** And those of page servers while they are cold, so. */
+    /** The prefix of the budgets that apply in addition while a back-end server is cold, that is, recently started. */
     static final String COLD_SLOT_PREFIX = "cold/";
 
     private BudgetMapping() { }
 
-    /** Those of the file, as the ledger is to know them. */
+    /** The configured budgets as defined in the ledger. */
     static List<Command.Define> definitions(FleetConfig.Sharing sharing) {
         List<Command.Define> defined = new ArrayList<>();
         for (FleetConfig.Budget b : sharing.budgets()) {
-            defined.add(new Command.Define(b.name(), b.rate(), totalShare(b, b.whole(), sharing), fixedShare(b), b.nodes()));
+            defined.add(new Command.Define(b.name(), b.rate(), totalShare(b, b.whole(), sharing), fixedShare(b),
+                    b.nodes()));
         }
         return defined;
     }
@@ -39,7 +40,7 @@
         return all;
     }
 
-    /** Null where it is not a page server's, or places are not shared. */
+    /** The definition of a back-end server's slot budget; null if the name is not one, or slots are not shared. */
     static Command.Define slotDefinition(FleetConfig.Sharing sharing, String name) {
         FleetConfig.Places p = sharing.places();
         if (p != null && p.cold() > 0 && name.startsWith(COLD_SLOT_PREFIX)) {
@@ -49,9 +50,10 @@
                 : new Command.Define(name, false, new Share(p.whole(), 0), new Share(p.fixed(), 0), p.nodes());
     }
 
-    /** How the budget of that name is to be divided, by whoever leads. */
+    /** The terms by which a leader divides a budget among the nodes. */
     static Division.Terms terms(FleetConfig.Sharing sharing, String name) {
-        FleetConfig.Sharing.Terms t = name.startsWith(COLD_SLOT_PREFIX) ? FleetConfig.Sharing.Terms.NONE : sharing.terms(name);
+        FleetConfig.Sharing.Terms t = name.startsWith(COLD_SLOT_PREFIX) ? FleetConfig.Sharing.Terms.NONE
+                : sharing.terms(name);
         FleetConfig.Budget b = sharing.budgets().stream().filter(x -> x.name().equals(name)).findFirst().orElse(null);
         long unit = b != null && b.rate() ? Share.USE : 1;
         return new Division.Terms(t.floor() * unit, t.reserve() * unit, sharing.hold());
@@ -61,18 +63,21 @@
         return b.rate() ? new Share(b.fixed() * Share.USE, b.fixed() > 0 ? Share.USE : 0) : new Share(b.fixed(), 0);
     }
 
-    /** Of a rate's burst, what its uses may begin late moves into a window that they were not looked at in. */
-    static Share totalShare(FleetConfig.Budget b, long whole, FleetConfig.Sharing sharing) {
-        double late = whole * (sharing.allowance(b.name()).toNanos() / 1e9);
-        return b.rate() ? new Share(whole * Share.USE, (long) Math.floor((b.burst() - late) * Share.USE))
-                : new Share(whole, 0);
+    /**
+     * The total of a budget. The burst of a rate is reduced by the uses that may start late, and so fall into a later
+     * window than the one in which they were counted.
+     */
+    static Share totalShare(FleetConfig.Budget b, long total, FleetConfig.Sharing sharing) {
+        double late = total * (sharing.allowance(b.name()).toNanos() / 1e9);
+        return b.rate() ? new Share(total * Share.USE, (long) Math.floor((b.burst() - late) * Share.USE))
+                : new Share(total, 0);
     }
 
     private static double toUses(boolean rate, long amount) {
         return rate ? amount / (double) Share.USE : amount;
     }
 
-    /** What a voter knows. */
+    /** The budgets as a voter knows them. */
     static JsonArray ledgerStatus(Ledger ledger) {
         JsonArray all = new JsonArray();
         Budgets budgets = ledger.budgets();
@@ -82,12 +87,15 @@
             for (Budgets.Part p : budgets.partsOf(w.name())) {
                 Budgets.Member m = budgets.member(p.session());
                 parts.add(new JsonObject().add("node", ledger.session(p.session()).node())
-                        .add("amount", toUses(w.rate(), p.amount().amount())).add("target", toUses(w.rate(), p.target().amount()))
+                        .add("amount", toUses(w.rate(), p.amount().amount()))
+                        .add("target", toUses(w.rate(), p.target().amount()))
                         .add("epoch", m.epoch()));
             }
             JsonObject o = new JsonObject().add("name", w.name()).add("kind", w.rate() ? "rate" : "count")
-                    .add("whole", toUses(w.rate(), f.whole().amount())).add("asked", toUses(w.rate(), w.asked().amount()))
-                    .add("free", toUses(w.rate(), f.free().amount())).add("promised", toUses(w.rate(), f.promised().amount()))
+                    .add("whole", toUses(w.rate(), f.whole().amount()))
+                    .add("asked", toUses(w.rate(), w.asked().amount()))
+                    .add("free", toUses(w.rate(), f.free().amount()))
+                    .add("promised", toUses(w.rate(), f.promised().amount()))
                     .add("giving_back", toUses(w.rate(), f.givingBack().amount()))
                     .add("set_aside", toUses(w.rate(), f.setAside().amount())).add("parts", parts);
             if (w.rate()) {
@@ -99,11 +107,12 @@
     }
 
     private static long fixedOf(FleetConfig.Sharing sharing, String budget) {
-        return sharing.budgets().stream().filter(b -> b.name().equals(budget)).mapToLong(FleetConfig.Budget::fixed).findFirst()
+        return sharing.budgets().stream().filter(b -> b.name().equals(budget)).mapToLong(FleetConfig.Budget::fixed)
+                .findFirst()
                 .orElse(budget.startsWith(SLOT_PREFIX) && sharing.places() != null ? sharing.places().fixed() : 0);
     }
 
-    /** Why it may use no more than it may; empty where it has its part. */
+    /** Why a node is limited to what it has; empty if it has its allocated share. */
     private static String why(BudgetHolder.Has h, long fixed) {
         if (h.left().isZero()) {
             return fixed > 0 ? "reaches no leader: uses its fixed part, " + fixed
@@ -113,7 +122,7 @@
                 : "others have all, or it asked for none";
     }
 
-    /** What this node has. */
+    /** The shares of this node. */
     static JsonArray nodeStatus(BudgetHolder holder, FleetConfig.Sharing sharing, Instant now) {
         JsonArray all = new JsonArray();
         for (BudgetHolder.Has h : holder.has(now)) {
--- a/src/main/java/rowanplank/fleet/FleetNode.java
+++ b/src/main/java/rowanplank/fleet/FleetNode.java
@@ -43,47 +43,58 @@
 import rowanplank.net.WholeFiles;
 
 /**
- * A node's part in its fleet: a holder of leases at every node, with the tasks that rest on them; at voters also the log,
- * the ledger and the desk. It speaks to other nodes by datagrams, one socket for all of it, and never waits for a reply.
+ * A node's membership in its fleet. Every node holds leases and budgets, runs the tasks and workers that depend on
+ * them, and takes part in the membership protocol; a voter also has the Raft log, the ledger and the services that
+ * handle requests for it. All traffic uses datagrams through one socket, and nothing blocks on a reply.
  *
- * <p>Voters are sent to at the addresses of the file; whoever asks is answered where it asked from. The last
- * {@value #MAX_REQUESTERS} of those are remembered.
+ * <p>Voters are sent to at their configured addresses. Other nodes are answered at the address from which they sent
+ * their request; the last {@value #MAX_REQUESTERS} of these addresses are remembered.
  */
 public final class FleetNode {
     private static final int MAX_REQUESTERS = 4096;
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(150);
+    /** How long a request for a held lease may wait at the leader. */
     private static final Duration PARK = Duration.ofSeconds(1);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(400);
-    /** So often a line says that datagrams were dropped, at the most. */
+    /** The minimum time between log lines about dropped datagrams. */
     private static final Duration DROP_LOG_INTERVAL = Duration.ofSeconds(10);
-    /** What staff ask is answered within this time, or given up. */
+    /** How long an operator's request is tried before it is given up. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
-    /** What it has of the machine. */
-    public record Platform(Loop loop, StateFile.Files files, WholeFiles statusFiles, Programs programs, RateLimitedLog log) { }
+    /**
+     * What a fleet node uses of its process and host.
+     *
+     * @param loop the event loop, on whose thread everything runs
+     * @param files opens a voter's state file
+     * @param statusFiles writes status files
+     * @param programs starts the programs of tasks and workers
+     * @param log the process's log
+     */
+    public record Platform(Loop loop, StateFile.Files files, WholeFiles statusFiles, Programs programs,
+            RateLimitedLog log) { }
 
-    /** The node's clients, as the order of work takes them from it and gives them back. */
+    /** The node's clients, which planned maintenance drains and lets in again. */
     public interface Clients {
         Clients NONE = withReadyCheck(() -> false);
 
-        /** Take no clients any more, and let go those that are there. */
+        /** Stops accepting clients and disconnects the current ones gracefully. */
         void drain();
 
-        /** For the fleet it may take clients. */
+        /** Allows clients again as far as the fleet is concerned. */
         void rejoin();
 
-        /** Whether no client, no request and no try is open. */
+        /** Whether no client connection, request or attempt is open. */
         boolean isEmpty();
 
-        /** Whether the node takes clients. */
+        /** Whether the node accepts clients. */
         boolean isReady();
 
-        /** What has been answered since the process began, and is open now; null where that is not counted. */
+        /** Counts of requests since the process started, and what is open now; null if that is not counted. */
         default Ask.Service serviceCounts() {
             return null;
         }
 
-        /** Clients that are nowhere, but for what says whether they are served. */
+        /** A node without clients of its own whose readiness is given by a check. */
         static Clients withReadyCheck(BooleanSupplier ready) {
             return new Clients() {
                 @Override
@@ -113,22 +124,22 @@
     private final EnvelopeCodec codec;
     private final SerialExecutor executor;
     private final LeaseHolder holder;
-    /** Its session's number of this process: no other one's is below zero. */
+    /** The incarnation of the budget session of this process. It is negative, unlike those of all other sessions. */
     private final long budgetsIncarnation;
     private final BudgetHolder budgets;
     private final WorkerRunner workers;
-    /** Null before the start, and where it has no part in an order of work. */
+    /** Null before the start, and if no maintenance plan is configured. */
     private WorkHolder work;
     private final ServiceWindow serviceWindow = new ServiceWindow();
-    /** The latest version of the ledger's entries that each voter's process has said it understands. */
+    /** The latest version of ledger entries that each voter's process has said it understands. */
     private final Map<String, Integer> understoodVersions = new TreeMap<>();
-    /** Null where places at page servers are not shared. */
+    /** Null if slots at back-end servers are not shared. */
     private final SlotLimiter slots;
     private final RateLimiter rateLimiter;
     private final Asker asker;
     private final Membership members;
     private final TaskRunner tasks;
-    /** Who waits for an answer of the asker. */
+    /** Receivers of the results of the requests in progress, by request number. */
     private final Map<Long, Consumer<Result>> pendingRequests = new TreeMap<>();
     private final Map<Long, InetSocketAddress> requesters = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
@@ -151,73 +162,80 @@
     private Instant lastDropLogged;
     private long datagramsSent;
     private long bytesSent;
-    /** Where another process is that says it is this node, and since when it has been heard of. */
+    /** The address of another process that uses the name of this node; see {@link #onDuplicateName}. */
     private String duplicateAddress;
     private Instant duplicateSince;
     private Instant duplicateLastHeard;
 
-    /** @param incarnation tells this process from all others of the node's name, before and after it */
-    public FleetNode(FleetConfig config, long incarnation, FleetComponents parts, Platform machine) {
+    /**
+     * Creates a node, which takes part once {@link #start} is called.
+     *
+     * @param incarnation a number that distinguishes this process from all earlier and later ones of the node's name
+     */
+    public FleetNode(FleetConfig config, long incarnation, FleetComponents components, Platform platform) {
         this.config = config;
         this.incarnation = incarnation;
-        this.components = parts;
-        this.platform = machine;
-        loop = machine.loop();
+        this.components = components;
+        this.platform = platform;
+        loop = platform.loop();
         codec = new EnvelopeCodec(config.name());
         executor = new SerialExecutor(this::scheduleWakeUp, this::onUnexpectedFailure);
         LeaseHolder.Settings settings = new LeaseHolder.Settings(config.node(), incarnation,
                 List.copyOf(config.addresses().keySet()), RETRY_INTERVAL, PARK, config.timing().session());
-        holder = parts.leaseHolder(settings, loop.clock().now(), new LeaseActions());
+        holder = components.leaseHolder(settings, loop.clock().now(), new LeaseActions());
         budgetsIncarnation = -incarnation;
-        budgets = parts.budgetHolder(new BudgetHolder.Settings(config.node(), budgetsIncarnation,
-                List.copyOf(config.addresses().keySet()), RETRY_INTERVAL, config.sharing().part(), config.sharing().longestUse(),
-                config.timing().drift()), loop.clock().now(), new BudgetActions());
+        budgets = components.budgetHolder(new BudgetHolder.Settings(config.node(), budgetsIncarnation,
+                List.copyOf(config.addresses().keySet()), RETRY_INTERVAL, config.sharing().part(),
+                config.sharing().longestUse(), config.timing().drift()), loop.clock().now(), new BudgetActions());
         asker = new Asker(settings, REQUEST_TIMEOUT, new RequestActions());
-        members = parts.membership(new Membership.Settings(config.node(), Addresses.format(config.advertised()),
-                incarnation, knownAddresses(), config.timing().probe(), incarnation), loop.clock().now(), new MembershipActions());
-        Programs programs = new StatusFileProgram(() -> this.config.pictures(), this::status, machine.statusFiles(),
-                machine.log(), machine.programs());
-        tasks = new TaskRunner(config, loop, programs, machine.log(), parts, holder, () -> executor.run(this::runTasks));
+        members = components.membership(new Membership.Settings(config.node(), Addresses.format(config.advertised()),
+                incarnation, knownAddresses(), config.timing().probe(), incarnation), loop.clock().now(),
+                new MembershipActions());
+        Programs programs = new StatusFileProgram(() -> this.config.pictures(), this::status, platform.statusFiles(),
+                platform.log(), platform.programs());
+        tasks = new TaskRunner(config, loop, programs, platform.log(), components, holder,
+                () -> executor.run(this::runTasks));
         slots = config.sharing().places() == null ? null
-                : new SlotLimiter(config.sharing().places(), config.node(), loop, budgets, () -> executor.run(this::applyBudgets),
+                : new SlotLimiter(config.sharing().places(), config.node(), loop, budgets,
+                        () -> executor.run(this::applyBudgets),
                         () -> executor.run(() -> budgets.onTime(loop.clock().now())));
         rateLimiter = new RateLimiter(config.sharing(), loop, budgets);
-        workers = new WorkerRunner(config.node(), loop, machine.programs(), machine.log(), parts, budgets,
+        workers = new WorkerRunner(config.node(), loop, platform.programs(), platform.log(), components, budgets,
                 () -> executor.run(this::runTasks));
     }
 
-    /** Where this node reaches others, whatever they say of themselves. */
+    /** The configured addresses of other nodes, which take precedence over announced ones. */
     private Map<String, String> knownAddresses() {
-        Map<String, String> reached = new TreeMap<>();
-        config.addresses().forEach((name, address) -> reached.put(name, Addresses.format(address)));
-        config.members().forEach((name, address) -> reached.put(name, Addresses.format(address)));
-        return reached;
+        Map<String, String> known = new TreeMap<>();
+        config.addresses().forEach((name, address) -> known.put(name, Addresses.format(address)));
+        config.members().forEach((name, address) -> known.put(name, Addresses.format(address)));
+        return known;
     }
 
-    /** What bounds this node's tries at page servers. */
+    /** The limits of this node's concurrent attempts at back-end servers. */
     public ServerSlots slots() {
         return slots == null ? ServerSlots.NONE : slots;
     }
 
-    /** What bounds its tries beyond the first, and its calls to discovery. */
+    /** The limits of this node's retries and of its calls to discovery. */
     public FleetLimits bounds() {
         return rateLimiter;
     }
 
-    /** What says whether this node takes clients; to be told before the start. */
+    /** Sets the check whether this node accepts clients; to be called before the start. */
     public void setReadyCheck(BooleanSupplier ready) {
         setClients(Clients.withReadyCheck(ready));
     }
 
-    /** Whom this node serves; to be told before the start. */
+    /** Sets the clients of this node; to be called before the start. */
     public void setClients(Clients all) {
         clients = all;
     }
 
     /**
-     * Takes part from now on; to be called once, on the loop's thread.
+     * Starts taking part in the fleet; to be called once, on the loop's thread.
      *
-     * @throws IOException with one line, if its state or its address can't be used
+     * @throws IOException with a one-line message if the state file or the listening address cannot be used
      */
     public void start() throws IOException {
         if (config.isVoter()) {
@@ -236,13 +254,14 @@
         executor.run(this::applyBudgets);
         if (config.order() != null) {
             FleetConfig.Order order = config.order();
-            executor.run(() -> work = components.workHolder(new WorkHolder.Settings(config.node(), incarnation, order.machine(),
-                    order.hall(), List.copyOf(config.addresses().keySet()), POLL_INTERVAL, Voter.TURN_VALIDITY, order.settle(),
-                    order.servesAlone(), order.aloneAfter()), loop.clock().now(), new WorkActions()));
+            executor.run(() -> work = components.workHolder(new WorkHolder.Settings(config.node(), incarnation,
+                    order.machine(), order.hall(), List.copyOf(config.addresses().keySet()), POLL_INTERVAL,
+                    Voter.TURN_VALIDITY, order.settle(), order.servesAlone(), order.aloneAfter()),
+                    loop.clock().now(), new WorkActions()));
         }
     }
 
-    /** Budgets and workers as the file has them now. */
+    /** Applies the budgets and workers of the current configuration. */
     private void applyBudgets() {
         Instant now = loop.clock().now();
         FleetConfig.Sharing sharing = config.sharing();
@@ -260,13 +279,15 @@
     }
 
     /**
-     * Ends its tasks, then gives back what it holds, then hands on leadership where it leads.
+     * Ends the tasks and workers, then releases leases and budgets, then transfers leadership if this node is the
+     * leader.
      *
-     * @param done run once it is done, or after so long at the most
+     * @param timeout the longest time to take
+     * @param done run when all of that is done, or when that time is over
      */
-    public void stop(Duration most, Runnable done) {
+    public void stop(Duration timeout, Runnable done) {
         whenStopped = done;
-        loop.schedule(most, this::end);
+        loop.schedule(timeout, this::end);
         executor.run(members::leave);
         tasks.finish(() -> workers.finish(() -> executor.run(() -> {
             tasksFinished = true;
@@ -275,7 +296,10 @@
         })));
     }
 
-    /** Guards requests that are served on while the process ends: they need their places as long as there are any. */
+    /**
+     * Releases the budgets once no client is left: requests that are still being served while the process ends need
+     * their slots.
+     */
     private void releaseBudgets() {
         if (slots == null || clients.isEmpty()) {
             budgets.leave(loop.clock().now());
@@ -294,7 +318,10 @@
         }
     }
 
-    /** No election is to be waited for; and whoever takes over may need this one's vote. */
+    /**
+     * Waits for another leader before ending, so that the fleet need not wait for an election timeout, and because the
+     * new leader may need this node's vote.
+     */
     private void endAfterTransfer(Instant latest) {
         if (!stopped && haltReason == null && voter.raftNode().role() == RaftNode.Role.LEADER
                 && loop.clock().now().isBefore(latest)) {
@@ -337,9 +364,12 @@
         }
     }
 
-    /** What must never be: a voter that has seen it takes no part any more; what it holds it may renew elsewhere. */
+    /**
+     * Handles an unexpected exception. A voter stops voting, since its state may be inconsistent; leases can be
+     * renewed with the other voters.
+     */
     private void onUnexpectedFailure(Throwable e) {
-        platform.log().warn("the fleet's part failed", e);
+        platform.log().warn("the fleet node failed unexpectedly", e);
         if (voter != null) {
             halt(e + "; this voter takes no part any more");
         }
@@ -347,7 +377,10 @@
 
     // ---- time
 
-    /** Nothing waits any more: until something comes, or is due. */
+    /**
+     * Called whenever no event is left to run: schedules the next wake-up, and ends the node if it is stopping and has
+     * released everything.
+     */
     private void scheduleWakeUp() {
         if (timer != null) {
             timer.cancel();
@@ -400,7 +433,7 @@
 
     private void runTasks() {
         Instant now = loop.clock().now();
-        budgets.onTime(now); // what has ended may be given back
+        budgets.onTime(now); // uses that have ended may be released
         tasks.onTime(now);
         workers.onTime(now);
     }
@@ -442,7 +475,7 @@
         socket.send(to, bytes);
     }
 
-    /** Guards the log: another fleet's node that was given this address sends on and on. */
+    /** Logs dropped datagrams at a limited rate, since a misconfigured node of another fleet may keep sending. */
     private void logDropped(InetSocketAddress from, MalformedException problem) {
         Instant now = loop.clock().now();
         if (lastDropLogged == null || !now.isBefore(lastDropLogged.plus(DROP_LOG_INTERVAL))) {
@@ -495,7 +528,8 @@
         public void send(String to, Message message) {
             InetSocketAddress address = config.addresses().get(to);
             if (address != null) {
-                FleetNode.this.send(address, Envelope.of(config.node(), incarnation, components.understoodVersion(), message));
+                FleetNode.this.send(address,
+                        Envelope.of(config.node(), incarnation, components.understoodVersion(), message));
             }
         }
 
@@ -553,13 +587,13 @@
 
         @Override
         public void drain() {
-            platform.log().info(config.node() + " takes no clients for the fleet's order of work");
+            platform.log().info(config.node() + " stops accepting clients for planned maintenance");
             clients.drain();
         }
 
         @Override
         public void rejoin() {
-            platform.log().info(config.node() + " may take clients, as the fleet's order of work has it");
+            platform.log().info(config.node() + " may accept clients again after planned maintenance");
             clients.rejoin();
             serviceWindow.clear();
         }
@@ -567,7 +601,8 @@
         @Override
         public Ask.Service service() {
             Ask.Service all = clients.serviceCounts();
-            return all == null ? null : serviceWindow.addSample(loop.clock().now(), slots == null ? all : slots.withSlots(all));
+            return all == null ? null : serviceWindow.addSample(loop.clock().now(), slots == null ? all
+                    : slots.withSlots(all));
         }
 
         @Override
@@ -585,8 +620,10 @@
         if (target.equals(config.node())) {
             executor.runLater(() -> onRequest(loop.clock().now(), ask));
         } else {
-            send(config.addresses().get(target), Envelope.of(config.node(), ask.incarnation(), components.understoodVersion(),
-                    LedgerCodec.downgrade(ask, Math.min(components.understoodVersion(), understoodVersions.getOrDefault(target, LedgerCodec.FIRST_VERSION)))));
+            send(config.addresses().get(target),
+                    Envelope.of(config.node(), ask.incarnation(), components.understoodVersion(),
+                    LedgerCodec.downgrade(ask, Math.min(components.understoodVersion(),
+                            understoodVersions.getOrDefault(target, LedgerCodec.FIRST_VERSION)))));
         }
     }
 
@@ -621,9 +658,10 @@
         @Override
         public void send(String address, GossipMessage note) {
             try {
-                FleetNode.this.send(Addresses.parse(address), Envelope.of(config.node(), incarnation, components.understoodVersion(), note));
+                FleetNode.this.send(Addresses.parse(address),
+                        Envelope.of(config.node(), incarnation, components.understoodVersion(), note));
             } catch (ConfigException e) {
-                datagramsDropped++; // a member says that it is at no address at all
+                datagramsDropped++; // the member announces an address that cannot be parsed
             }
         }
 
@@ -640,8 +678,10 @@
     }
 
     /**
-     * What is heard of once may be old; what goes on to be heard of is there, and no voter may be there twice. A twin that
-     * was silent for a session's length was ended: one that is there later is another one, and is waited for anew.
+     * Handles the report of another process that uses this node's name. A single report may be outdated, so only
+     * reports that continue for longer than a session's length count; then a voter halts, as no voter may run twice.
+     * If there were no reports for a session's length, the earlier duplicate has ended, and a later one starts the
+     * wait again.
      */
     private void onDuplicateName(String address) {
         Instant now = loop.clock().now();
@@ -678,7 +718,7 @@
 
         @Override
         public void over(String lease, long fence) {
-            platform.log().info("lease " + lease + " under fence " + fence + " is over for " + config.node());
+            platform.log().info("lease " + lease + " under fence " + fence + " has ended for " + config.node());
             tasks.leaseEnded(lease);
         }
 
@@ -692,13 +732,14 @@
         }
     }
 
-    // ---- told anew
+    // ---- configuration
 
     /**
-     * Takes up what another file says of leases, tasks, the picture, and nodes that may vote one day; of all else
-     * nothing may differ. On the loop's thread.
+     * Applies a changed configuration. Leases, tasks, workers, budgets, the status file directory and nodes that may
+     * become voters may change; everything else needs a restart. To be called on the loop's thread.
      *
-     * @return null where it is in force; else what differs and needs a restart, and nothing has changed
+     * @return null if the configuration is in force; else what differs and needs a restart, in which case nothing was
+     *     changed
      */
     public String reload(FleetConfig fresh) {
         String fixed = config.fixedDifference(fresh);
@@ -733,65 +774,74 @@
     private void leave(String lease) {
         Instant now = loop.clock().now();
         holder.leave(now, lease);
-        config.leases().stream().filter(l -> l.name().equals(lease)).forEach(l -> holder.want(now, l.name(), l.length()));
+        config.leases().stream().filter(l -> l.name().equals(lease))
+                .forEach(l -> holder.want(now, l.name(), l.length()));
     }
 
-    // ---- asked by staff
+    // ---- operators' requests
 
     /**
-     * Who holds a lease, as of a moment after this call: whatever was granted or ended before it is seen.
+     * Reads who holds a lease, linearizably: whatever was granted or ended before this call is seen.
      *
-     * @param told what a leader said, never within this call; null where none could be found in time
+     * @param receiver receives the leader's result, never within this call; null if no leader could be reached in time
      */
-    public void readLease(String lease, Consumer<Result> told) {
-        ask(new Ask.Read(lease), told);
+    public void readLease(String lease, Consumer<Result> receiver) {
+        ask(new Ask.Read(lease), receiver);
     }
 
     /**
-     * Staff's word on the order of work, at whichever node. The same number twice is done once.
+     * Sends an operator's command on the maintenance plan to the leader, from any node. Repeating a command with the
+     * same id has no further effect.
      *
-     * @param told what came of it, never within this call; null where it is not known: to be asked again by its number
+     * @param command the command
+     * @param receiver receives the result, never within this call; null if it is not known, in which case the command
+     *     should be repeated with its id
      */
-    public void submitStaffCommand(Command.Staff words, Consumer<Result> told) {
-        ask(new Ask.Staff(words), told);
+    public void submitStaffCommand(Command.Staff command, Consumer<Result> receiver) {
+        ask(new Ask.Staff(command), receiver);
     }
 
     /**
-     * The order that would follow if these machines were asked for now, and why each waits.
+     * The order in which machines would be taken out if these were requested now, with the reason why each has to
+     * wait.
      *
-     * @return null where this node has no ledger, or does not know one of them
+     * @param first whether they would be placed at the front
+     * @return null if this node is not a voter, has no maintenance plan, or does not know one of the machines
      */
     public JsonObject plan(List<String> machines, boolean first) {
-        if (voter == null || config.order() == null || machines.stream().anyMatch(m -> voter.ledger().work().nodesOf(m).isEmpty())) {
+        if (voter == null || config.order() == null
+                || machines.stream().anyMatch(m -> voter.ledger().work().nodesOf(m).isEmpty())) {
             return null;
         }
-        return new JsonObject().add("plan", WorkStatusJson.plan(voter.waits(work == null ? "" : work.standing(), machines, first)));
+        return new JsonObject().add("plan",
+                WorkStatusJson.plan(voter.waits(work == null ? "" : work.standing(), machines, first)));
     }
 
-    private void ask(Ask.What what, Consumer<Result> told) {
+    private void ask(Ask.What what, Consumer<Result> receiver) {
         Instant now = loop.clock().now();
         executor.run(() -> {
             long number = asker.ask(now, what);
             if (number == 0) {
-                loop.execute(() -> told.accept(null));
+                loop.execute(() -> receiver.accept(null));
             } else {
-                pendingRequests.put(number, told);
+                pendingRequests.put(number, receiver);
                 asker.onTime(now);
             }
         });
     }
 
     /**
-     * Has this node give back a lease in order: its tasks end first. It asks for it again after twice its length, so
-     * that another may have it meanwhile.
+     * Releases a lease in order: its tasks end first. The node requests the lease again after twice its length, so
+     * that another node may get it meanwhile.
      *
-     * @return whether it holds it
+     * @return whether this node holds the lease
      */
     public boolean release(String lease) {
         if (holder.fence(lease) == 0) {
             return false;
         }
-        Duration length = config.leases().stream().filter(l -> l.name().equals(lease)).findFirst().orElseThrow().length();
+        Duration length = config.leases().stream().filter(l -> l.name().equals(lease)).findFirst().orElseThrow()
+                .length();
         long fence = holder.fence(lease);
         tasks.finish(lease, () -> executor.run(() -> {
             if (holder.fence(lease) == fence) {
@@ -799,7 +849,7 @@
             }
         }));
         loop.schedule(length.multipliedBy(2), () -> executor.run(() -> {
-            if (!tasksFinished) { // at the length that the file has by then, where it still has it
+            if (!tasksFinished) { // with its then configured length, if it is still configured
                 config.leases().stream().filter(l -> l.name().equals(lease))
                         .forEach(l -> holder.want(loop.clock().now(), l.name(), l.length()));
             }
@@ -808,9 +858,10 @@
     }
 
     /**
-     * Has a node vote, or not any more.
+     * Adds or removes a voter.
      *
-     * @return null where the change was taken, and is in force once {@link #status} shows it as decided; else why not
+     * @return null if the change was accepted; it is in force once {@link #status} shows it as committed. Otherwise
+     *     why it was not
      */
     public String changeVoters(String name, boolean add) {
         if (voter == null || haltReason != null || !voter.raftNode().isEstablished()) {
@@ -830,17 +881,17 @@
     }
 
     /**
-     * Changes the whole of a budget; in force once enough has come back.
+     * Changes the total of a budget. A reduction takes effect once enough of it has been returned.
      *
-     * @return null where the change was taken; else why not
+     * @return null if the change was accepted, otherwise why it was not
      */
-    public String resize(String name, long whole) {
+    public String resize(String name, long total) {
         if (voter == null || haltReason != null || !voter.raftNode().isEstablished()) {
             return notLeading();
         }
         for (FleetConfig.Budget b : config.sharing().budgets()) {
             if (b.name().equals(name)) {
-                return voter.resize(name, BudgetMapping.totalShare(b, whole, config.sharing()));
+                return voter.resize(name, BudgetMapping.totalShare(b, total, config.sharing()));
             }
         }
         return "there is no budget of that name in this node's file: " + name;
@@ -851,28 +902,29 @@
         return "this node does not lead" + (leader == null ? "" : "; ask " + leader);
     }
 
-    /** What this voter knows of the order of work. */
+    /** The state of the maintenance plan as this voter knows it. */
     private JsonObject workStatus() {
-        String told = work == null ? "" : work.standing();
-        return WorkStatusJson.status(voter.ledger().work(), haltReason == null ? voter.standing(told) : "this voter takes no part any more",
-                voter.waits(told, List.of(), false));
+        String standing = work == null ? "" : work.standing();
+        return WorkStatusJson.status(voter.ledger().work(), haltReason == null ? voter.standing(standing)
+                : "this voter takes no part any more", voter.waits(standing, List.of(), false));
     }
 
     /**
-     * The order of work as the leader knows it; where none answers, as this voter does.
+     * Requests the state of the maintenance plan from the leader, or uses this voter's own if the leader does not
+     * answer.
      *
-     * @param told never within this call; null where nobody could say
+     * @param receiver receives it, never within this call; null if it is not available
      */
-    public void requestWorkStatus(Consumer<JsonObject> told) {
+    public void requestWorkStatus(Consumer<JsonObject> receiver) {
         if (config.order() == null) {
-            loop.execute(() -> told.accept(null));
+            loop.execute(() -> receiver.accept(null));
             return;
         }
-        new PagedJsonReader((from, piece) -> ask(new Ask.Look(from), piece),
-                whole -> told.accept(whole == null && voter != null ? workStatus() : whole)).start();
+        new PagedJsonReader((from, page) -> ask(new Ask.Look(from), page),
+                status -> receiver.accept(status == null && voter != null ? workStatus() : status)).start();
     }
 
-    /** All that a person wants to know of this node's part, as of now at this node. */
+    /** The status of this node for operators, as of now. */
     public JsonObject status() {
         Instant now = loop.clock().now();
         JsonObject o = new JsonObject().add("fleet", config.name()).add("node", config.node())
@@ -892,7 +944,8 @@
                 o.add("answered_ms", Duration.between(holder.answered(), now).toMillis());
             }
         }
-        if (duplicateAddress != null && !now.isAfter(duplicateLastHeard.plus(config.timing().session().multipliedBy(10)))) {
+        if (duplicateAddress != null
+                && !now.isAfter(duplicateLastHeard.plus(config.timing().session().multipliedBy(10)))) {
             o.add("twin", duplicateAddress);
         }
         JsonArray met = new JsonArray();
@@ -913,7 +966,8 @@
             o.add("turn", WorkStatusJson.own(config.order().machine(), work));
         }
         if (config.sharing().places() != null || !config.sharing().budgets().isEmpty()) {
-            o.add("parts", BudgetMapping.nodeStatus(budgets, config.sharing(), now)).add("workers_begun", workers.startCount());
+            o.add("parts", BudgetMapping.nodeStatus(budgets, config.sharing(), now))
+                    .add("workers_begun", workers.startCount());
         }
         return o.add("holds", held).add("runs_begun", tasks.startCount()).add("runs_ended", tasks.ended());
     }
--- a/src/main/java/rowanplank/fleet/PagedJsonReader.java
+++ b/src/main/java/rowanplank/fleet/PagedJsonReader.java
@@ -8,23 +8,31 @@
 import rowanplank.ledger.Ask;
 import rowanplank.ledger.Result;
 
-/** One text of the leader's, asked for piece by piece, since a datagram holds no more; begun anew where it changed meanwhile. */
+/**
+ * Reads a JSON document from the leader in pages, since a datagram cannot hold all of it. It starts over if the
+ * document changes meanwhile, {@value #MAX_RESTARTS} times at most.
+ */
 final class PagedJsonReader {
     private static final int MAX_RESTARTS = 5;
 
-    private final BiConsumer<Integer, Consumer<Result>> ask;
+    private final BiConsumer<Integer, Consumer<Result>> requestPage;
     private final Consumer<JsonObject> receiver;
     private StringBuilder text = new StringBuilder();
     private long version;
     private int startCount;
 
-    /** @param ask for the piece from so many letters on; answered with null where nobody could say */
-    PagedJsonReader(BiConsumer<Integer, Consumer<Result>> ask, Consumer<JsonObject> told) {
-        this.ask = ask;
-        this.receiver = told;
+    /**
+     * Creates a reader; {@link #start} begins to read.
+     *
+     * @param requestPage requests the page at a character offset; its result is null if there was no answer
+     * @param receiver gets the document, or null if it could not be read
+     */
+    PagedJsonReader(BiConsumer<Integer, Consumer<Result>> requestPage, Consumer<JsonObject> receiver) {
+        this.requestPage = requestPage;
+        this.receiver = receiver;
     }
 
-    /** Letters beyond ASCII as JSON writes them too: a piece must not end within one. */
+    /** Escapes all characters beyond ASCII, so that no page ends within a character. */
     static String toAsciiJson(String json) {
         StringBuilder plain = new StringBuilder(json.length());
         for (char c : json.toCharArray()) {
@@ -36,7 +44,7 @@
     void start() {
         startCount++;
         text = new StringBuilder();
-        ask.accept(0, this::onPage);
+        requestPage.accept(0, this::onPage);
     }
 
     private void onPage(Result r) {
@@ -51,7 +59,7 @@
         version = r.value();
         text.append(r.node());
         if (text.length() < Ask.Look.length(version) && !r.node().isEmpty()) {
-            ask.accept(text.length(), this::onPage);
+            requestPage.accept(text.length(), this::onPage);
         } else {
             complete();
         }
--- a/src/main/java/rowanplank/fleet/RateLimiter.java
+++ b/src/main/java/rowanplank/fleet/RateLimiter.java
@@ -12,23 +12,26 @@
 import rowanplank.net.Loop;
 
 /**
- * Tries beyond the first and calls to discovery as uses of budgets that the operator's file names. What it wishes for of
- * each: twice the rate at which it was asked lately, one use a second at the least, all of it where one was refused.
+ * Limits retries and calls to discovery by budgets of the fleet that the configuration names. Of each budget it
+ * requests twice the rate at which it was recently asked, at least one use per second, and the total if a use was
+ * refused.
  *
- * <p>Tries are bounded by a share of first tries as well: a bucket of {@value #MAX_SAVED_RETRIES} tries that each first try
- * fills by the share. What holds at each node holds for all: in any time, tries beyond the first are no more than the share
- * of first tries, and {@value #MAX_SAVED_RETRIES} for each process that runs in it.
+ * <p>Retries are also limited to a share of the first attempts by a token bucket of {@value #MAX_SAVED_RETRIES}
+ * retries, to which each first attempt adds that share. As this holds at each node, it holds for the fleet: in any
+ * period, retries are no more than the share of first attempts plus {@value #MAX_SAVED_RETRIES} for each process that
+ * runs in it.
  *
- * <p>A look, four times a second, costs O(1), as each question does but for O(log budgets).
+ * <p>A review, four times a second, costs O(1); other calls cost O(log budgets).
  */
 final class RateLimiter implements FleetLimits {
     private static final Duration REVIEW_INTERVAL = Duration.ofMillis(250);
     private static final double REVIEWS_PER_SECOND = 4;
     private static final double DECAY = 0.9;
     private static final double MAX_SAVED_RETRIES = 10;
-    /** Where nothing says when a use may begin. */
+    /** The delay reported if it is not known when a use may start. */
     private static final Duration DEFAULT_RETRY_DELAY = Duration.ofMillis(200);
 
+    /** The usage of one budget. */
     private static final class Use {
         final String name;
         final long total;
@@ -42,7 +45,8 @@
         }
 
         long requestedShare() {
-            return refused ? total * Share.USE : Math.min(total * Share.USE, (long) (Share.USE * Math.max(1, 2 * recentRate)));
+            return refused ? total * Share.USE
+                    : Math.min(total * Share.USE, (long) (Share.USE * Math.max(1, 2 * recentRate)));
         }
     }
 
@@ -83,7 +87,8 @@
         }
         Instant now = loop.clock().now();
         Instant ready = retries == null ? now : holder.ready(now, retries.name);
-        return ready != null && !now.isBefore(ready) || begin(retries); // a refusal is counted
+        // begin() records a refusal, which raises the requested share
+        return ready != null && !now.isBefore(ready) || begin(retries);
     }
 
     @Override
@@ -110,15 +115,17 @@
         return begun;
     }
 
-    /** Says what it would use of each. */
+    /** Requests shares of both budgets. */
     void requestShares() {
         uses().forEach(u -> holder.wish(u.name, u.requestedShare()));
     }
 
+    /** When {@link #onTime} has to be called next; null if no budget is configured. */
     Instant due() {
         return uses().isEmpty() ? null : nextReview;
     }
 
+    /** Reviews usage if that is due, and updates the requested shares. */
     void onTime(Instant now) {
         if (!now.isBefore(nextReview)) {
             nextReview = now.plus(REVIEW_INTERVAL);
--- a/src/main/java/rowanplank/fleet/SerialExecutor.java
+++ b/src/main/java/rowanplank/fleet/SerialExecutor.java
@@ -4,7 +4,10 @@
 import java.util.Deque;
 import java.util.function.Consumer;
 
-/** Runs one event after the other: what an event brings about runs once it is over, in the order of its being asked. */
+/**
+ * Runs events one at a time and in order: an event submitted while another one runs is queued until that one returns.
+ * So none of the components is called from within a call.
+ */
 final class SerialExecutor {
     private final Deque<Runnable> waiting = new ArrayDeque<>();
     private final Runnable afterAll;
@@ -12,15 +15,17 @@
     private boolean running;
 
     /**
-     * @param afterAll run each time when nothing waits any more
-     * @param failed told what was never to happen; what waited is dropped
+     * Creates an executor without events.
+     *
+     * @param afterAll run each time the queue becomes empty
+     * @param failed receives what an event threw; events that were queued then are dropped
      */
     SerialExecutor(Runnable afterAll, Consumer<Throwable> failed) {
         this.afterAll = afterAll;
         this.failed = failed;
     }
 
-    /** Runs it now, or after the event that runs now. */
+    /** Runs an event now, or after the events that are running or queued. */
     void run(Runnable event) {
         waiting.add(event);
         if (running) {
@@ -31,7 +36,7 @@
             for (Runnable next; (next = waiting.poll()) != null;) {
                 next.run();
             }
-        } catch (RuntimeException | Error e) { // also a class that is not there any more, as its file was replaced
+        } catch (RuntimeException | Error e) { // errors too: a class may fail to load if the jar was replaced
             waiting.clear();
             failed.accept(e);
         } finally {
@@ -40,7 +45,7 @@
         afterAll.run();
     }
 
-    /** Runs it after the event that runs now. */
+    /** Queues an event behind the one that is running. */
     void runLater(Runnable event) {
         run(event);
     }
--- a/src/main/java/rowanplank/fleet/ServiceWindow.java
+++ b/src/main/java/rowanplank/fleet/ServiceWindow.java
@@ -7,8 +7,8 @@
 import rowanplank.ledger.Ask;
 
 /**
- * How a node has served in the last {@link #SPAN}, from what it has counted since its start. Looked at more often than
- * each {@link #SAMPLE_INTERVAL}, it notes the last look only; it holds {@value #MAX_SAMPLES} of them.
+ * Request counts of the last {@link #SPAN}, computed from counters that run since the process started. Samples are
+ * taken at most every {@link #SAMPLE_INTERVAL}, and at most {@value #MAX_SAMPLES} are kept.
  */
 final class ServiceWindow {
     static final Duration SPAN = Duration.ofSeconds(10);
@@ -19,12 +19,17 @@
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
-    /** It begins anew: what was before is not counted. */
+    /** Starts over: earlier requests are not counted. */
     void clear() {
         samples.clear();
     }
 
-    /** @param all counted since the start, and what is open now */
+    /**
+     * Records a sample and returns the counts within the window.
+     *
+     * @param all the counts since the process started, and what is open now
+     * @return the increase within the window, with the average of what was open
+     */
     Ask.Service addSample(Instant now, Ask.Service all) {
         if (samples.isEmpty() || !now.isBefore(samples.getLast().at().plus(SAMPLE_INTERVAL))) {
             samples.add(new Sample(now, all));
@@ -35,7 +40,8 @@
         Ask.Service from = samples.getFirst().all();
         long open = (long) Math.ceil(samples.stream().mapToLong(l -> l.all().open()).average().orElse(0));
         long used = (long) Math.ceil(samples.stream().mapToLong(l -> l.all().used()).average().orElse(0));
-        return new Ask.Service(all.served() - from.served(), all.refused() - from.refused(), all.failed() - from.failed(),
+        return new Ask.Service(all.served() - from.served(), all.refused() - from.refused(),
+                all.failed() - from.failed(),
                 open, used, all.servers());
     }
 }
--- a/src/main/java/rowanplank/fleet/SlotLimiter.java
+++ b/src/main/java/rowanplank/fleet/SlotLimiter.java
@@ -20,57 +20,65 @@
 import rowanplank.net.Loop;
 
 /**
- * Places at page servers as budgets of the fleet, one for each server that discovery lists: a try takes one from its
- * sending to its first answer. One that was given up holds it for {@code linger} more, since the server goes on with it
- * until it hears of that.
+ * Limits concurrent attempts at back-end servers. The slots of each server that discovery lists are a budget of the
+ * fleet; an attempt uses one from when it is sent until its first response. An abandoned attempt keeps its slot for
+ * {@code linger} longer, since the server goes on working until it notices.
  *
- * <p>Where it wishes for some: at {@value #MIN_SERVERS} servers, or twice as many as it had tries out lately, two in three
- * in its own hall, in an order that is its own and always the same; so nodes spread over the servers, and one with much to
- * send has places at more of them. For how many: one more than were in use at once lately; all of them where its part was
- * full. So parts go where tries are, and the module chooses among the servers at which there are any.
+ * <p>A node requests slots at {@value #MIN_SERVERS} servers, or at twice as many as it recently had attempts open if
+ * that is more; two thirds of them are in its own zone. Each node prefers servers in an order of its own that never
+ * changes, so nodes spread over the servers, and a node with much traffic has slots at more of them. Per server it
+ * requests one slot more than were recently used at the same time, or all of them if its share was exhausted. So slots
+ * go where attempts are, and the balancer chooses among servers that have free ones.
  *
- * <p>Bound: {@value #MAX_SERVERS} servers; others have no places here. A look, four times a second, costs O(servers); a try
- * O(log servers).
+ * <p>Limit: {@value #MAX_SERVERS} servers; others have no slots here. A review, four times a second, costs O(servers),
+ * an attempt O(log servers).
  */
 final class SlotLimiter implements ServerSlots {
     private static final int MAX_SERVERS = 800;
     private static final Duration REVIEW_INTERVAL = Duration.ofMillis(250);
-    /** Of what was in use at once, so much is forgotten with each look, once nothing like it has been since. */
+    /** The factor by which the recent peak of used slots decays per review while usage stays below it. */
     private static final double DECAY = 0.8;
-    /** Servers that a node has places at: so many at the least, to choose from, and so many for each try out lately. */
+    /**
+     * The minimum number of servers to have slots at, so that there is a choice, and the number for each recently open
+     * attempt.
+     */
     private static final int MIN_SERVERS = 8;
     private static final double SERVERS_PER_ATTEMPT = 2;
-    /** Of three, so many in its own hall. */
+    /** How many of three servers are to be in the node's own zone. */
     private static final int OWN_ZONE_OF_THREE = 2;
     private static final int THREE = 3;
     private static final double WORTH_SMOOTHING = 0.05;
     private static final double WORTH_STEP = 1.25;
     private static final double MIN_WORTH = 0.01;
 
+    /** The slots at one server. */
     private static final class Slots {
         final String budget;
-        /** Of the budget that bounds it while it is cold, and until when that is; null where nothing does. */
+        /**
+         * The budget that applies in addition while the server is cold, and until when it is cold. {@code coldUntil}
+         * is null if it is not.
+         */
         final String coldBudget;
         Instant coldUntil;
-        /** Uses of that one, no fewer than tries that began while it was cold and are out. */
+        /** Uses of the cold budget: at least the open attempts that started while the server was cold. */
         int coldOpen;
         int open;
         int peakOpen;
         boolean full;
-        /** Not listed any more; its last tries are still out. */
+        /** Whether the server is no longer listed, but attempts are still open. */
         boolean removed;
         double recentPeak;
         double worth = 1;
-        /** Among those that this node has places at, if it can. */
+        /** Whether this node wants slots at the server. */
         boolean wanted;
         boolean usable;
         final boolean ownZone;
-        /** It comes the earlier among them the less this is; another order at each node, and always the same there. */
+        /** Servers with lower ranks are preferred; ranks differ between nodes, but never change at one node. */
         final double rank;
 
-        Slots(long server, boolean own, double lot) {
-            this.ownZone = own;
-            this.rank = lot;
+        Slots(long server, boolean ownZone, double rank) {
+            this.ownZone = ownZone;
+            this.rank = rank;
             coldBudget = BudgetMapping.COLD_SLOT_PREFIX + Long.toUnsignedString(server, Character.MAX_RADIX);
             budget = BudgetMapping.SLOT_PREFIX + Long.toUnsignedString(server, Character.MAX_RADIX);
         }
@@ -82,28 +90,31 @@
     private final Runnable onServersChanged;
     private final Runnable onReleasable;
     private final Map<Long, Slots> slotsById = new TreeMap<>();
-    /** Those that are listed, in this node's order. */
+    /** The listed servers in this node's order of preference. */
     private List<Slots> order = List.of();
     private final long node;
     private Runnable onUsable = () -> { };
     private Instant nextReview;
 
     /**
-     * @param node its name
-     * @param listed run when there are other servers than before
-     * @param fits run when something may be given back
+     * Creates a limiter without servers.
+     *
+     * @param node the name of this node
+     * @param onServersChanged run when the servers have changed
+     * @param onReleasable run when part of a share may have become releasable
      */
-    SlotLimiter(FleetConfig.Places config, String node, Loop loop, BudgetHolder holder, Runnable listed, Runnable fits) {
+    SlotLimiter(FleetConfig.Places config, String node, Loop loop, BudgetHolder holder, Runnable onServersChanged,
+            Runnable onReleasable) {
         this.config = config;
         this.node = LongHashFunction.xx().hashChars(node);
         this.loop = loop;
         this.holder = holder;
-        this.onServersChanged = listed;
-        this.onReleasable = fits;
+        this.onServersChanged = onServersChanged;
+        this.onReleasable = onReleasable;
         nextReview = loop.clock().now();
     }
 
-    /** The budgets that it uses. */
+    /** The budgets of all servers with slots, by name. */
     Map<String, Command.Define> budgets(FleetConfig.Sharing sharing) {
         Map<String, Command.Define> all = new TreeMap<>();
         Instant now = loop.clock().now();
@@ -124,15 +135,15 @@
 
     private double at(Slots p) {
         Instant now = loop.clock().now();
-        long most = p.removed ? 0 : holder.limit(now, p.budget);
-        return Math.max(0, isCold(now, p) ? Math.min(most, holder.limit(now, p.coldBudget)) : most);
+        long limit = p.removed ? 0 : holder.limit(now, p.budget);
+        return Math.max(0, isCold(now, p) ? Math.min(limit, holder.limit(now, p.coldBudget)) : limit);
     }
 
     private static boolean isCold(Instant now, Slots p) {
         return p.coldUntil != null && now.isBefore(p.coldUntil);
     }
 
-    /** One that is cold needs a use of both. */
+    /** Takes a slot. At a cold server it needs a use of both budgets. */
     private boolean begin(Instant now, Slots p) {
         boolean cold = isCold(now, p);
         if (cold && holder.begin(now, p.coldBudget) < 0) {
@@ -175,12 +186,12 @@
 
     private void ended(Slots p) {
         p.open--;
-        boolean fit = holder.end(p.budget);
+        boolean releasable = holder.end(p.budget);
         if (p.coldOpen > p.open) {
             p.coldOpen--;
-            fit |= holder.end(p.coldBudget);
+            releasable |= holder.end(p.coldBudget);
         }
-        if (fit) {
+        if (releasable) {
             onReleasable.run();
         }
     }
@@ -191,9 +202,9 @@
         for (Server s : changed) {
             Slots p = slotsById.get(s.id());
             if (s.lifecycle() == Lifecycle.READY && (p != null || slotsById.size() < MAX_SERVERS)) {
-                Slots listedNow = slotsById.computeIfAbsent(s.id(), id -> new Slots(id, s.zone() == site.zone(), rank(id)));
-                listedNow.removed = false;
-                listedNow.coldUntil = config.cold() == 0 || s.startedAtMs() == 0 ? null
+                Slots slots = slotsById.computeIfAbsent(s.id(), id -> new Slots(id, s.zone() == site.zone(), rank(id)));
+                slots.removed = false;
+                slots.coldUntil = config.cold() == 0 || s.startedAtMs() == 0 ? null
                         : Instant.ofEpochMilli((long) Math.ceil(s.startedAtMs() + site.rules().warmupMs()));
             } else if (p != null) {
                 p.removed = true;
@@ -210,21 +221,25 @@
         return new SplittableRandom(server ^ node).nextDouble();
     }
 
-    /** Of three wanted, two in the own hall, while there are such; the first ones in this node's order of each. */
+    /**
+     * Chooses the wanted servers: two thirds in the node's own zone as far as there are any, and the most preferred
+     * ones of each kind.
+     */
     private void chooseWanted() {
-        double tries = 0;
+        double openAttempts = 0;
         for (Slots p : order) {
-            tries += p.recentPeak;
+            openAttempts += p.recentPeak;
             p.wanted = p.open > 0;
         }
-        long wanted = Math.max(MIN_SERVERS, Math.round(Math.ceil(SERVERS_PER_ATTEMPT * tries)));
-        int own = 0;
-        int others = 0;
-        long owns = order.stream().filter(p -> p.ownZone).count();
+        long wanted = Math.max(MIN_SERVERS, Math.round(Math.ceil(SERVERS_PER_ATTEMPT * openAttempts)));
+        int ownChosen = 0;
+        int othersChosen = 0;
+        long ownZoneServers = order.stream().filter(p -> p.ownZone).count();
         for (Slots p : order) {
-            long room = p.ownZone ? Math.max(wanted * OWN_ZONE_OF_THREE / THREE, wanted - (order.size() - owns))
-                    : wanted - Math.min(owns, wanted * OWN_ZONE_OF_THREE / THREE);
-            p.wanted |= (p.ownZone ? own++ : others++) < room;
+            long quota = p.ownZone
+                    ? Math.max(wanted * OWN_ZONE_OF_THREE / THREE, wanted - (order.size() - ownZoneServers))
+                    : wanted - Math.min(ownZoneServers, wanted * OWN_ZONE_OF_THREE / THREE);
+            p.wanted |= (p.ownZone ? ownChosen++ : othersChosen++) < quota;
         }
     }
 
@@ -233,21 +248,24 @@
         onUsable = changed;
     }
 
-    /** With the places that are in use now. */
+    /** Adds the slots in use and the listed servers to the service counts. */
     Ask.Service withSlots(Ask.Service s) {
-        return new Ask.Service(s.served(), s.refused(), s.failed(), s.open(), slotsById.values().stream().mapToLong(p -> p.open).sum(),
+        return new Ask.Service(s.served(), s.refused(), s.failed(), s.open(),
+                slotsById.values().stream().mapToLong(p -> p.open).sum(),
                 slotsById.values().stream().filter(p -> !p.removed).count());
     }
 
-    /** Says what it would use of each. */
+    /** Requests shares of all budgets. */
     void requestShares() {
         slotsById.values().forEach(this::requestShares);
     }
 
+    /** When {@link #onTime} has to be called next; null if there are no servers. */
     Instant due() {
         return slotsById.isEmpty() ? null : nextReview;
     }
 
+    /** Reviews usage if that is due, and updates the requested shares. */
     void onTime(Instant now) {
         if (!now.isBefore(nextReview)) {
             nextReview = now.plus(REVIEW_INTERVAL);
@@ -286,7 +304,7 @@
         }
     }
 
-    /** In steps, so that not each request is news: a quarter more or less is the same. */
+    /** Converts a worth to a weight in steps of a quarter, so that small changes do not cause new requests. */
     private static int weight(double worth) {
         double step = Math.round(Math.log(Math.max(MIN_WORTH, worth)) / Math.log(WORTH_STEP));
         return (int) Math.round(Division.NORMAL * Math.pow(WORTH_STEP, step));
--- a/src/main/java/rowanplank/fleet/StatusFileProgram.java
+++ b/src/main/java/rowanplank/fleet/StatusFileProgram.java
@@ -14,23 +14,30 @@
 import rowanplank.net.WholeFiles;
 
 /**
- * The one task that is no command: writes the fleet's picture, as its holder knows it, to a file with the fence in its
- * name, so that of two files the later holder's is told apart. Files of lower fences go.
+ * Runs the built-in task that is not a command: it writes the fleet's status, as the lease holder knows it, to a file
+ * with the fence in its name, so that the file of the later holder can be recognized. Files with lower fences are
+ * deleted.
  */
 final class StatusFileProgram implements Programs {
     private static final String NAME = "fleet-%019d.json";
 
     private final Supplier<String> directory;
-    private final Supplier<JsonObject> picture;
+    private final Supplier<JsonObject> currentStatus;
     private final WholeFiles files;
     private final RateLimitedLog log;
     private final Programs others;
 
-    /** @param others start all other tasks */
-    StatusFileProgram(Supplier<String> directory, Supplier<JsonObject> picture, WholeFiles files, RateLimitedLog log,
-            Programs others) {
+    /**
+     * Wraps the programs of all other tasks.
+     *
+     * @param directory the current directory of status files
+     * @param currentStatus the current status
+     * @param others starts all other tasks
+     */
+    StatusFileProgram(Supplier<String> directory, Supplier<JsonObject> currentStatus, WholeFiles files,
+            RateLimitedLog log, Programs others) {
         this.directory = directory;
-        this.picture = picture;
+        this.currentStatus = currentStatus;
         this.files = files;
         this.log = log;
         this.others = others;
@@ -43,18 +50,18 @@
         }
         long fence = Long.parseLong(environment.get("FLEET_FENCE"));
         String name = String.format(NAME, fence);
-        byte[] content = picture.get().add("fence", fence).toString(WriterConfig.PRETTY_PRINT)
+        byte[] content = currentStatus.get().add("fence", fence).toString(WriterConfig.PRETTY_PRINT)
                 .getBytes(StandardCharsets.UTF_8);
-        String folder = directory.get();
-        files.put(folder, name, content, n -> n.matches("fleet-[0-9]{19}\\.json") && n.compareTo(name) < 0, failure -> {
+        String target = directory.get();
+        files.put(target, name, content, n -> n.matches("fleet-[0-9]{19}\\.json") && n.compareTo(name) < 0, failure -> {
             if (failure != null) {
-                log.warn("the fleet's picture can't be written to " + folder + ": " + failure.getMessage());
+                log.warn("the fleet's status can't be written to " + target + ": " + failure.getMessage());
             }
             ended.accept(failure == null ? 0 : 1);
         });
         return new Running() {
             @Override
-            public void stop() { } // a write that has begun ends by itself
+            public void stop() { } // a write that has started always completes
 
             @Override
             public void kill() { }
--- a/src/main/java/rowanplank/fleet/TaskRunner.java
+++ b/src/main/java/rowanplank/fleet/TaskRunner.java
@@ -15,33 +15,40 @@
 import rowanplank.net.Programs;
 
 /**
- * Runs commands while their leases are held. A command begins only where it would end within the lease, with all that it
- * may take and all that the node may stand still meanwhile; it is asked to end, then ended, when its longest time is
- * over. It finds its lease, fence and longest time in its environment: {@code FLEET_NODE}, {@code FLEET_TASK},
- * {@code FLEET_LEASE}, {@code FLEET_FENCE}, {@code FLEET_LONGEST_MS}, its end by the machine's clock on the wall, in ms
- * since 1970, {@code FLEET_END_MS}, and where it is to run once in a period that period's number, {@code FLEET_PERIOD}. Such
- * a run is claimed in the ledger before it begins: it runs once or, where its node dies in between, not at all, and one that
- * fails is not run again in that period.
+ * Runs the commands of tasks while this node holds their leases. A command is started only if it would end within the
+ * lease, even if it needs its time limit and the node stalls for as long as it may; it is asked to stop, then killed,
+ * when its time limit is over. Its environment has {@code FLEET_NODE}, {@code FLEET_TASK}, {@code FLEET_LEASE}, {@code
+ * FLEET_FENCE}, the time limit in {@code FLEET_LONGEST_MS}, the wall clock time of its end in ms since 1970 in {@code
+ * FLEET_END_MS}, and for a task that runs once per period the number of the period in {@code FLEET_PERIOD}. Such a run
+ * is claimed in the ledger before it starts: it runs once or, if its node fails in between, not at all, and a failed
+ * run is not repeated in that period.
  *
- * <p>At most one run of a task at a time on this node; what fails is logged and begun again in its time.
+ * <p>At most one run of a task is active on this node; failures are logged, and the task is started again when it is
+ * next due.
  */
 final class TaskRunner {
-    /** What could not be asked for is asked for again after so long. */
+    /** When to retry a claim that could not be requested. */
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
 
     private final class Job {
         final FleetConfig.Task task;
         Instant nextStart;
-        /** Of a task that runs once in a period: the one whose run is this node's, and the last one that is over. */
+        /**
+         * For a task that runs once per period: the period whose run this node has claimed, and the last period whose
+         * run is over.
+         */
         long claimedPeriod = -1;
         long lastPeriodDone = -1;
         boolean claiming;
-        /** It stands in the file no more, and its last run is still ending: nothing of its name begins before that. */
+        /**
+         * Whether the task is no longer configured but its last run has not ended. No task of the same name starts
+         * before it has.
+         */
         boolean removed;
-        /** Nothing begins until the lease is granted anew. */
+        /** Whether the task waits for its lease to be granted again. */
         boolean paused;
         Programs.Running running;
-        /** Run once nothing of it runs any more; until then nothing is begun. */
+        /** Run when the current run has ended; until then no run is started. Null if nobody waits for that. */
         Runnable whenOver;
 
         Job(FleetConfig.Task task) {
@@ -61,45 +68,53 @@
     private long successCount;
     private Runnable whenFinished;
 
-    /** @param changed run when {@link #due} may have come nearer by itself */
-    TaskRunner(FleetConfig config, Loop loop, Programs programs, RateLimitedLog log, FleetComponents parts, LeaseHolder holder,
-            Runnable changed) {
+    /**
+     * Creates a runner for the configured tasks.
+     *
+     * @param changed run when {@link #due} may have become earlier without a call from outside
+     */
+    TaskRunner(FleetConfig config, Loop loop, Programs programs, RateLimitedLog log, FleetComponents components,
+            LeaseHolder holder, Runnable changed) {
         node = config.node();
         this.loop = loop;
         this.programs = new BoundedPrograms(loop, programs, log);
         this.log = log;
-        this.components = parts;
+        this.components = components;
         this.holder = holder;
         this.changed = changed;
         config.tasks().forEach(t -> jobs.add(new Job(t)));
     }
 
-    /** How many runs were begun so far. */
+    /** The number of runs started so far. */
     long startCount() {
         return startCount;
     }
 
-    /** How many runs ended by themselves and well. */
+    /** The number of runs that exited with status 0. */
     long ended() {
         return successCount;
     }
 
-    /** Begins nothing more, and asks what runs to end. @param done run once nothing runs, maybe within this call */
+    /**
+     * Starts no more runs, and asks running ones to stop.
+     *
+     * @param done run once nothing is running, possibly within this call
+     */
     void finish(Runnable done) {
         whenFinished = done;
         jobs.stream().filter(j -> j.running != null).forEach(j -> j.running.stop());
         finishIfDone();
     }
 
-    /** The same of one lease's tasks, until the lease is granted again. */
+    /** Does the same for the tasks of one lease, until the lease is granted again. */
     void finish(String lease, Runnable done) {
         List<Job> own = jobs.stream().filter(j -> j.task.lease().equals(lease)).toList();
-        int[] left = {own.size()};
+        int[] remaining = {own.size()};
         for (Job j : own) {
             j.nextStart = null;
             j.paused = true;
             Runnable over = () -> {
-                if (--left[0] == 0) {
+                if (--remaining[0] == 0) {
                     done.run();
                 }
             };
@@ -124,21 +139,22 @@
         }
     }
 
-    /** When {@link #onTime} is to be called next; null where nothing is due. */
+    /** When {@link #onTime} has to be called next; null if nothing is due. */
     Instant due() {
         if (whenFinished != null) {
-            return null; // nothing begins any more, however long ago it was due
+            return null; // no run is started any more, even if one is overdue
         }
         Instant due = null;
         for (Job j : jobs) {
-            if (j.running == null && holder.fence(j.task.lease()) != 0 && j.nextStart != null && !isEnding(j.task.name())) {
+            if (j.running == null && holder.fence(j.task.lease()) != 0 && j.nextStart != null
+                    && !isEnding(j.task.name())) {
                 due = due == null || j.nextStart.isBefore(due) ? j.nextStart : due;
             }
         }
         return due;
     }
 
-    /** The lease is this node's from now on. */
+    /** Reports that this node now holds a lease. */
     void leaseGranted(Instant now, String lease) {
         for (Job j : jobs) {
             if (j.task.lease().equals(lease) && !j.removed) {
@@ -148,7 +164,7 @@
         }
     }
 
-    /** It is not any more: what runs is ended now, it had ended already were all as it should be. */
+    /** Reports that a lease has ended: runs that depend on it are killed. Normally they have ended before. */
     void leaseEnded(String lease) {
         for (Job j : jobs) {
             if (j.task.lease().equals(lease)) {
@@ -160,6 +176,7 @@
         }
     }
 
+    /** Starts the runs that are due. */
     void onTime(Instant now) {
         for (Job j : whenFinished != null ? List.<Job>of() : jobs) {
             if (j.running == null && j.nextStart != null && !now.isBefore(j.nextStart) && !isEnding(j.task.name())) {
@@ -171,7 +188,7 @@
                         j.task.longest().plus(j.task.allowance()))) {
                     begin(now, j, fence);
                 } else {
-                    j.nextStart = now.plus(j.task.longest().dividedBy(4)); // after a renewal
+                    j.nextStart = now.plus(j.task.longest().dividedBy(4)); // the lease may have been renewed by then
                 }
             }
         }
@@ -189,7 +206,10 @@
         return Instant.ofEpochMilli(period * t.every().toMillis());
     }
 
-    /** Whether this period's run is this node's; if it is not known yet, it is asked for, and {@link #periodClaimed} follows. */
+    /**
+     * Whether this node has claimed the run of the current period. If that is not known yet, requests the claim;
+     * {@link #periodClaimed} gets the result.
+     */
     private boolean mayRunNow(Instant now, Job j) {
         long period = period(j.task, now);
         if (j.claimedPeriod == period && j.lastPeriodDone < period) {
@@ -204,7 +224,11 @@
         return false;
     }
 
-    /** @param result null where it is not known what came of it: then the run may be this node's, and is left out */
+    /**
+     * Handles the result of a claim.
+     *
+     * @param result null if the outcome is not known. The run may then be claimed for this node, but is skipped
+     */
     void periodClaimed(Instant now, String task, long period, Result result) {
         for (Job j : jobs) {
             if (j.task.name().equals(task) && j.claiming && !j.removed) {
@@ -224,7 +248,7 @@
         }
     }
 
-    /** Other tasks from now on: those that stay go on, those that go are asked to end. */
+    /** Replaces the tasks: unchanged ones go on, and runs of removed ones are asked to stop. */
     void replace(Instant now, List<FleetConfig.Task> tasks) {
         for (Job j : List.copyOf(jobs)) {
             if (!j.removed && !tasks.contains(j.task)) {
@@ -265,7 +289,8 @@
         environment.put("FLEET_END_MS", Long.toString(loop.wall().now().plus(t.longest()).toEpochMilli()));
         try {
             startCount++;
-            j.running = programs.start("task " + t.name(), t.command(), environment, t.longest(), status -> ended(j, status));
+            j.running = programs.start("task " + t.name(), t.command(), environment, t.longest(),
+                    status -> ended(j, status));
         } catch (IOException e) {
             log.warn("task " + t.name() + " can't be started: " + e.getMessage());
             j.nextStart = now.plus(t.longest());
--- a/src/main/java/rowanplank/fleet/Voter.java
+++ b/src/main/java/rowanplank/fleet/Voter.java
@@ -31,46 +31,55 @@
 import rowanplank.net.StateFile;
 
 /**
- * A voter: agreement, ledger and desk, and the file that they rest on. All that one of them asks for is done once it has
- * returned ({@link SerialExecutor}), so that none is called from within a call.
+ * A voter of the fleet: the Raft node, the ledger as its state machine, the leader's services on top of it, and the
+ * state file. Everything that one of these requests is run after it has returned ({@link SerialExecutor}), so that
+ * none is called from within a call.
  */
 final class Voter {
     private static final int MAX_UNCOMMITTED = 512;
-    /** The chain of results is compared after so many entries. */
+    /** After this many entries the leader proposes a check that all voters computed the same results. */
     private static final int AUDIT_INTERVAL_ENTRIES = 100;
-    /** So old is what a node is told of its turn at the most, when it acts on it. */
+    /** How old a leader's statement that it is a machine's turn may be when the node acts on it. */
     static final Duration TURN_VALIDITY = Duration.ofSeconds(1);
-    /** A voter that lags by more entries has not caught up. */
+    /** A voter that lags by more entries does not count as caught up. */
     private static final int MAX_CAUGHT_UP_LAG = 64;
+    /** How long a request for a held lease may wait at the leader. */
     private static final Duration PARK = Duration.ofSeconds(1);
 
-    /** What a voter sends, and whom it tells that it can't go on. */
+    /** What a voter needs from the node that it runs in. */
     interface Environment {
+        /** Sends a message to another voter. */
         void send(String to, Message message);
 
+        /** Answers a request. */
         void answer(Ask ask, Ask.Answer answer);
 
+        /** Sends a node an answer that does not follow a request of its own. */
         void deliver(Ask.Answer answer);
 
+        /** Reports that this voter cannot go on, in one line. */
         void halt(String why);
 
-        /** Whether the node is thought to live and to serve clients. */
+        /** Whether a node is believed to be alive and to serve clients. */
         boolean serves(String node);
 
+        /** Whether a node is believed to be alive. */
         boolean isAlive(String node);
 
+        /** The time by the wall clock. */
         Instant wallClockNow();
 
-        /** The order of work as staff read it. */
+        /** The state of the maintenance plan as JSON. */
         String workStatusText();
 
+        /** The time by the monotonic clock. */
         Instant now();
     }
 
     private final FleetConfig config;
     private final FleetComponents components;
     private final SerialExecutor executor;
-    /** The latest version of entries that each other voter has said it understands. */
+    /** The latest version of ledger entries that each other voter has said it understands. */
     private final Map<String, Integer> understoodVersions = new TreeMap<>();
     private final Environment environment;
     private final StateFile file;
@@ -78,36 +87,46 @@
     private final Ledger ledger;
     private final Desk desk;
     private final BudgetDesk budgets;
-    /** Null where this node has no part in an order of work. */
+    /** Null if no maintenance plan is configured. */
     private final WorkDesk work;
+    /** The checksum chain of the state file: that of the last record written. */
     private int chain;
     private long lastAuditIndex;
-    /** To which level this voter, as a leader, has asked to raise the ledger's. */
+    /** The ledger version level that this voter has proposed as the leader. */
     private int proposedLevel;
 
-    /** @throws IOException with one line, if the file can't be used */
-    Voter(FleetConfig config, long seed, FleetComponents parts, StateFile file, SerialExecutor turns, Environment outside) throws IOException {
+    /**
+     * Creates a voter from its state file.
+     *
+     * @throws IOException with a one-line message if the file cannot be used
+     */
+    Voter(FleetConfig config, long seed, FleetComponents components, StateFile file, SerialExecutor executor,
+            Environment environment) throws IOException {
         this.config = config;
-        this.components = parts;
-        this.executor = turns;
-        this.environment = outside;
+        this.components = components;
+        this.executor = executor;
+        this.environment = environment;
         this.file = file;
         try {
             VoterFileCodec.FileContent read = VoterFileCodec.read(file.content(), config.name(), config.node());
             file.cut(read.length());
             chain = read.chain();
-            ledger = parts.ledger(LedgerCodec.snapshot(read.saved().snapshot().data()));
-            raftNode = parts.raftNode(new RaftNode.Settings(config.node(), config.timing().election(), config.timing().heartbeat(),
-                    EnvelopeCodec.MAX_CONTENT_BYTES, MAX_UNCOMMITTED, seed), read.saved(), outside.now(), new RaftActions());
+            ledger = components.ledger(LedgerCodec.snapshot(read.saved().snapshot().data()));
+            raftNode = components.raftNode(new RaftNode.Settings(config.node(), config.timing().election(),
+                    config.timing().heartbeat(), EnvelopeCodec.MAX_CONTENT_BYTES, MAX_UNCOMMITTED, seed), read.saved(),
+                    environment.now(), new RaftActions());
         } catch (MalformedException e) {
             throw new IOException("the state in " + config.directory() + " can't be used: " + e.getMessage(), e);
         }
-        desk = parts.desk(new Desk.Settings(config.timing().drift(), config.timing().session(), PARK), ledger, new DeskActions());
-        budgets = parts.budgetDesk(config.timing().drift(), ledger, new DeskActions());
-        work = config.order() == null ? null : parts.workDesk(new WorkDesk.Settings(config.timing().drift(), TURN_VALIDITY,
-                config.timing().election().multipliedBy(4), new Work.Terms(config.order().mostOut(),
-                config.order().mostOutOfHall()), bounds(config)), ledger, new DeskActions());
-        budgets.budgets(BudgetMapping.definitions(config.sharing()), name -> BudgetMapping.slotDefinition(config.sharing(), name),
+        desk = components.desk(new Desk.Settings(config.timing().drift(), config.timing().session(), PARK), ledger,
+                new DeskActions());
+        budgets = components.budgetDesk(config.timing().drift(), ledger, new DeskActions());
+        work = config.order() == null ? null
+                : components.workDesk(new WorkDesk.Settings(config.timing().drift(), TURN_VALIDITY,
+                        config.timing().election().multipliedBy(4), new Work.Terms(config.order().mostOut(),
+                        config.order().mostOutOfHall()), bounds(config)), ledger, new DeskActions());
+        budgets.budgets(BudgetMapping.definitions(config.sharing()),
+                name -> BudgetMapping.slotDefinition(config.sharing(), name),
                 name -> BudgetMapping.terms(config.sharing(), name));
     }
 
@@ -152,26 +171,35 @@
         executor.run(() -> raftNode.onMessage(now, from, message));
     }
 
-    /** What another voter's process understands. */
-    void onUnderstoodVersion(String name, int knows) {
-        if (!Integer.valueOf(knows).equals(understoodVersions.put(name, knows))) {
+    /** Records which version another voter's process understands. */
+    void onUnderstoodVersion(String name, int understoodVersion) {
+        if (!Integer.valueOf(understoodVersion).equals(understoodVersions.put(name, understoodVersion))) {
             executor.run(this::proposeLevel);
         }
     }
 
-    /** Once all voters have said that they understand a later version, its entries may be written for good. */
+    /**
+     * Proposes to raise the ledger's version level once all voters understand a later version. From then on its
+     * entries may be written, and the level never goes back.
+     */
     private void proposeLevel() {
-        int all = components.understoodVersion();
+        int common = components.understoodVersion();
         for (String v : raftNode.voters()) {
-            all = v.equals(config.node()) ? all : Math.min(all, understoodVersions.getOrDefault(v, LedgerCodec.FIRST_VERSION));
+            common = v.equals(config.node()) ? common
+                    : Math.min(common, understoodVersions.getOrDefault(v, LedgerCodec.FIRST_VERSION));
         }
-        if (desk.leads() && all > Math.max(proposedLevel, ledger.level())
-                && raftNode.propose(environment.now(), LedgerCodec.command(new Command.Raise(all))) > 0) {
-            proposedLevel = all;
+        if (desk.leads() && common > Math.max(proposedLevel, ledger.level())
+                && raftNode.propose(environment.now(), LedgerCodec.command(new Command.Raise(common))) > 0) {
+            proposedLevel = common;
         }
     }
 
-    /** @return whether it was taken: this voter leads, it is a change, and the one before it is decided */
+    /**
+     * Adds or removes a voter.
+     *
+     * @return whether the change was accepted, which requires that this voter is the leader, that it changes
+     *     something, and that the previous change is committed
+     */
     boolean changeVoters(Instant now, String name, boolean add) {
         List<String> voters = new ArrayList<>(raftNode.voters());
         if (add ? voters.contains(name) : !voters.contains(name)) {
@@ -187,7 +215,11 @@
         return taken[0];
     }
 
-    /** @return whether it was taken; if not, this voter does not lead */
+    /**
+     * Handles a request.
+     *
+     * @return whether it was accepted; if not, this voter is not the leader
+     */
     boolean onAsk(Instant now, Ask ask) {
         if (!desk.leads()) {
             return false;
@@ -220,8 +252,8 @@
         @Override
         public void store(long number, Write write) {
             Runnable synced = () -> executor.run(() -> raftNode.onStored(environment.now(), number));
-            if (write instanceof Write.FullState whole) {
-                VoterFileCodec.Encoded written = VoterFileCodec.replacement(config.name(), config.node(), whole);
+            if (write instanceof Write.FullState state) {
+                VoterFileCodec.Encoded written = VoterFileCodec.replacement(config.name(), config.node(), state);
                 chain = written.chain();
                 file.replace(written.bytes(), synced);
             } else {
@@ -314,7 +346,10 @@
         }
     }
 
-    /** Guards a fleet without a leader for a while: one whose machine goes out hands on before it drains. */
+    /**
+     * Transfers leadership before draining when this node's own machine is taken out, so that the fleet need not wait
+     * for an election.
+     */
     private void transferIfDraining(Command command, Result result) {
         if (command instanceof Command.Turn t && result.kind() == Result.Kind.GRANTED && desk.leads()
                 && ledger.work().nodesOf(t.machine()).contains(config.node())) {
@@ -323,33 +358,42 @@
     }
 
     /**
-     * What speaks against the next turn.
+     * Why no machine can be taken out now.
      *
-     * @param told what the leader has said of it last
+     * @param leaderStanding the leader's latest statement about it
+     * @return the reason; empty if nothing prevents it
      */
-    String standing(String told) {
+    String standing(String leaderStanding) {
         if (work != null && desk.leads()) {
             return work.standing();
         }
-        return raftNode.leader() != null ? told : ledger.work().plan().isEmpty() ? ""
+        return raftNode.leader() != null ? leaderStanding : ledger.work().plan().isEmpty() ? ""
                 : "no leader is known: no majority of the voters hears each other";
     }
 
-    /** Why each machine that waits does so, in the order of the plan; and each of others, if they were asked for now. */
-    Map<String, String> waits(String told, List<String> more, boolean first) {
-        return work == null ? new TreeMap<>() : work.waits(ledger.work().plan(more, first), standing(told));
+    /**
+     * Why each waiting machine has to wait, in the order of the plan, including more machines as if they were
+     * requested now.
+     */
+    Map<String, String> waits(String leaderStanding, List<String> more, boolean first) {
+        return work == null ? new TreeMap<>() : work.waits(ledger.work().plan(more, first), standing(leaderStanding));
     }
 
-    /** @return null where it was taken; else why not */
-    String resize(String name, Share whole) {
+    /**
+     * Changes the total of a budget.
+     *
+     * @return null if the change was accepted, otherwise why it was not
+     */
+    String resize(String name, Share total) {
         Budgets.Whole w = ledger.budgets().whole(name);
         if (w == null) {
             return "there is no budget of that name: " + name;
-        } else if (!whole.covers(w.setAside()) || w.rate() && whole.burst() < w.setAside().burst() + Share.USE) {
+        } else if (!total.covers(w.setAside()) || w.rate() && total.burst() < w.setAside().burst() + Share.USE) {
             return "that is less than what is set aside, or too fast for its burst";
         }
         long[] index = new long[1];
-        executor.run(() -> index[0] = raftNode.propose(environment.now(), LedgerCodec.command(new Command.Resize(name, whole))));
+        executor.run(() -> index[0] =
+                raftNode.propose(environment.now(), LedgerCodec.command(new Command.Resize(name, total))));
         return index[0] > 0 ? null : "it can't be taken now: ask again";
     }
 
@@ -403,7 +447,8 @@
         public boolean hasMajorityWithout(Set<String> nodes) {
             Map<String, Long> matches = raftNode.matchIndexes();
             long left = raftNode.voters().stream().filter(v -> !nodes.contains(v) && (v.equals(config.node())
-                    || environment.isAlive(v) && matches.containsKey(v) && raftNode.lastIndex() - matches.get(v) <= MAX_CAUGHT_UP_LAG)).count();
+                    || environment.isAlive(v) && matches.containsKey(v)
+                    && raftNode.lastIndex() - matches.get(v) <= MAX_CAUGHT_UP_LAG)).count();
             return left * 2 > raftNode.voters().size();
         }
     }
--- a/src/main/java/rowanplank/fleet/WorkerRunner.java
+++ b/src/main/java/rowanplank/fleet/WorkerRunner.java
@@ -15,17 +15,19 @@
 import rowanplank.net.Programs;
 
 /**
- * Runs commands at every node of the fleet, as many as their budgets allow: of a count so many at once, of a rate so many
- * starts a second. Each finds in its environment {@code FLEET_NODE}, {@code FLEET_WORKER}, {@code FLEET_BUDGET},
- * {@code FLEET_EPOCH} and {@code FLEET_LONGEST_MS}. It is asked to end, then ended, when its longest time is over, which is
- * what a part's holder has said of it; a part that is over ends nothing that runs.
+ * Runs the commands of workers on every node of the fleet as far as their budgets allow: a count limits how many run
+ * at once, a rate how many start per second. Their environment has {@code FLEET_NODE}, {@code FLEET_WORKER}, {@code
+ * FLEET_BUDGET}, {@code FLEET_EPOCH} and {@code FLEET_LONGEST_MS}. A command is asked to stop, then killed, when its
+ * time limit is over, which is the time that the holder of the share has announced; the end of a share does not stop
+ * running commands.
  *
- * <p>A look costs O(copies of all workers).
+ * <p>A check costs O(copies of all workers).
  */
 final class WorkerRunner {
-    /** What may not begin is looked at again after so long, where nothing says sooner that more may. */
+    /** When to check again for a copy that may not start, unless a larger share is reported earlier. */
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
 
+    /** One of the copies of a worker that run at the same time. */
     private static final class Copy {
         final FleetConfig.Worker worker;
         Instant nextStart;
@@ -49,23 +51,28 @@
     private Runnable whenFinished;
     private long startCount;
 
-    /** @param changed run when {@link #due} may have come nearer by itself */
-    WorkerRunner(String node, Loop loop, Programs programs, RateLimitedLog log, FleetComponents parts, BudgetHolder holder,
-            Runnable changed) {
+    /**
+     * Creates a runner without workers; {@link #replace} sets them.
+     *
+     * @param changed run when {@link #due} may have become earlier without a call from outside
+     */
+    WorkerRunner(String node, Loop loop, Programs programs, RateLimitedLog log, FleetComponents components,
+            BudgetHolder holder, Runnable changed) {
         this.node = node;
         this.loop = loop;
         this.programs = new BoundedPrograms(loop, programs, log);
         this.log = log;
-        this.components = parts;
+        this.components = components;
         this.holder = holder;
         this.changed = changed;
     }
 
+    /** The number of copies started so far. */
     long startCount() {
         return startCount;
     }
 
-    /** What of each budget these workers would use at the most. */
+    /** The most that these workers would use of each budget. */
     static Map<String, Long> requestedShares(List<FleetConfig.Budget> budgets, List<FleetConfig.Worker> workers) {
         Map<String, Long> wishes = new TreeMap<>();
         budgets.forEach(b -> wishes.put(b.name(), 0L));
@@ -77,7 +84,7 @@
         return wishes;
     }
 
-    /** These from now on: copies that are too many are asked to end. */
+    /** Replaces the workers: surplus copies are asked to stop. */
     void replace(Instant now, List<FleetConfig.Worker> workers) {
         for (FleetConfig.Worker w : workers) {
             long there = copies.stream().filter(c -> !c.removed && c.worker.equals(w)).count();
@@ -97,7 +104,11 @@
         }
     }
 
-    /** Begins nothing more, and asks what runs to end. @param done run once nothing runs, maybe within this call */
+    /**
+     * Starts no more copies, and asks running ones to stop.
+     *
+     * @param done run once nothing is running, possibly within this call
+     */
     void finish(Runnable done) {
         whenFinished = done;
         copies.stream().filter(c -> c.running != null).forEach(c -> c.running.stop());
@@ -113,7 +124,7 @@
         }
     }
 
-    /** When {@link #onTime} is to be called next; null where nothing is due. */
+    /** When {@link #onTime} has to be called next; null if nothing is due. */
     Instant due() {
         Instant due = null;
         for (Copy c : whenFinished != null ? List.<Copy>of() : copies) {
@@ -124,12 +135,13 @@
         return due;
     }
 
-    /** More may begin of a budget than before. */
+    /** Reports that the share of a budget has grown, so that more copies may start. */
     void onBudgetIncreased(Instant now, String budget) {
         copies.stream().filter(c -> c.running == null && c.worker.budget().equals(budget) && c.nextStart.isAfter(now)
                 && c.nextStart.isBefore(now.plus(RETRY_INTERVAL))).forEach(c -> c.nextStart = now);
     }
 
+    /** Starts the copies that are due. */
     void onTime(Instant now) {
         for (Copy c : whenFinished != null ? List.<Copy>of() : List.copyOf(copies)) {
             if (c.running == null && !c.removed && !now.isBefore(c.nextStart)) {
@@ -143,8 +155,8 @@
         long epoch = components.beginUse(holder, now, w.budget());
         if (epoch < 0) {
             Instant ready = holder.ready(now, w.budget());
-            Instant again = now.plus(RETRY_INTERVAL);
-            c.nextStart = ready != null && ready.isBefore(again) ? ready : again;
+            Instant retryAt = now.plus(RETRY_INTERVAL);
+            c.nextStart = ready != null && ready.isBefore(retryAt) ? ready : retryAt;
             return;
         }
         Map<String, String> environment = new TreeMap<>();
--- a/src/main/java/rowanplank/fleet/wire/BinaryReader.java
+++ b/src/main/java/rowanplank/fleet/wire/BinaryReader.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Bytes to values, as {@link BinaryWriter} wrote them. Whatever does not fit is a {@link MalformedException}. */
+/** Decodes values written by {@link BinaryWriter}. Invalid input causes a {@link MalformedException}. */
 public final class BinaryReader {
-    /** What was read is not what was written. */
+    /** The input is not valid. */
     public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -26,7 +26,7 @@
 
     private void need(int bytes) throws MalformedException {
         if (bytes < 0 || in.remaining() < bytes) {
-            throw new MalformedException("ends too early");
+            throw new MalformedException("unexpected end of the input");
         }
     }
 
@@ -38,7 +38,7 @@
     public boolean flag() throws MalformedException {
         int value = octet();
         if (value > 1) {
-            throw new MalformedException("neither yes nor no: " + value);
+            throw new MalformedException("not a boolean: " + value);
         }
         return value == 1;
     }
@@ -62,14 +62,17 @@
                 return value;
             }
         }
-        throw new MalformedException("a number of too many bytes");
+        throw new MalformedException("number with too many bytes");
     }
 
-    /** How many follow, each of a byte at least: guards against lists that claim more than has come. */
+    /**
+     * Reads the number of elements that follow, each of at least one byte. Rejects counts that exceed the remaining
+     * input.
+     */
     public int count() throws MalformedException {
         long count = varint();
         if (count < 0 || count > in.remaining()) {
-            throw new MalformedException("more than there is: " + count);
+            throw new MalformedException("count exceeds the input: " + count);
         }
         return (int) count;
     }
@@ -88,10 +91,10 @@
         return !in.hasRemaining();
     }
 
-    /** Guards against a form that is longer than what is known of it. */
+    /** Requires that the input is exhausted; additional data means that its format is not the expected one. */
     public void end() throws MalformedException {
         if (in.hasRemaining()) {
-            throw new MalformedException(in.remaining() + " bytes too many");
+            throw new MalformedException(in.remaining() + " unexpected bytes at the end");
         }
     }
 }
--- a/src/main/java/rowanplank/fleet/wire/BinaryWriter.java
+++ b/src/main/java/rowanplank/fleet/wire/BinaryWriter.java
@@ -3,15 +3,20 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Values to bytes: numbers big end first, small ones in few bytes, text and bytes behind their length. */
+/**
+ * Encodes values as bytes: fixed-size integers in big-endian order, variable-length integers, and byte strings
+ * prefixed by their length.
+ */
 public final class BinaryWriter {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(128);
 
+    /** Writes the low eight bits. */
     public BinaryWriter octet(int value) {
         out.write(value);
         return this;
     }
 
+    /** Writes one byte, 1 or 0. */
     public BinaryWriter flag(boolean value) {
         return octet(value ? 1 : 0);
     }
@@ -27,7 +32,7 @@
         return int32((int) (value >>> 32)).int32((int) value);
     }
 
-    /** Seven bits a byte, the lowest first: for numbers that are mostly small. */
+    /** Writes seven bits per byte, lowest first, which is compact for small numbers. */
     public BinaryWriter varint(long value) {
         long rest = value;
         while ((rest & ~0x7fL) != 0) {
@@ -38,12 +43,14 @@
         return this;
     }
 
+    /** Writes the length as a varint, then the bytes. */
     public BinaryWriter bytes(byte[] value) {
         varint(value.length);
         out.writeBytes(value);
         return this;
     }
 
+    /** Writes the length in bytes as a varint, then the text in UTF-8. */
     public BinaryWriter text(String value) {
         return bytes(value.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/rowanplank/fleet/wire/BudgetCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/BudgetCodec.java
@@ -10,9 +10,12 @@
 import rowanplank.ledger.Division;
 import rowanplank.ledger.Share;
 
-/** What concerns budgets, as bytes: commands, pictures, what is asked and what is told. */
+/** Encodes and decodes what concerns budgets: commands, ledger snapshots, requests and answers. */
 final class BudgetCodec {
-    /** Parts asked for with weights: sent only where the operator has set them, since older voters do not know it. */
+    /**
+     * The message kind of a request for shares with weights. It is sent only if the operator has configured weights,
+     * since older voters do not understand it.
+     */
     static final int WEIGHTED = 31;
 
     private BudgetCodec() { }
@@ -64,9 +67,9 @@
             case 12 -> new Command.Divide(targets(in));
             case 13 -> new Command.Give(in.varint(), in.varint(), in.varint(), in.varint(), in.text(), share(in));
             case 14 -> new Command.Leave(in.varint(), in.varint(), in.varint());
-            case 15 -> new Command.Lapse(gone(in));
+            case 15 -> new Command.Lapse(ended(in));
             case 16 -> new Command.Retire(LogCodec.names(in));
-            default -> throw new MalformedException("a command of kind " + kind + ", which this version does not know");
+            default -> throw new MalformedException("unknown command kind: " + kind);
         };
     }
 
@@ -78,19 +81,20 @@
         return targets;
     }
 
-    private static List<Command.Gone> gone(BinaryReader in) throws MalformedException {
-        List<Command.Gone> gone = new ArrayList<>();
+    private static List<Command.Gone> ended(BinaryReader in) throws MalformedException {
+        List<Command.Gone> ended = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            gone.add(new Command.Gone(in.varint(), in.varint()));
+            ended.add(new Command.Gone(in.varint(), in.varint()));
         }
-        return gone;
+        return ended;
     }
 
-    // ---- pictures
+    // ---- snapshots
 
     static void snapshot(BinaryWriter out, Budgets.Picture p) {
         out.varint(p.changes()).varint(p.wholes().size());
-        p.wholes().forEach(w -> share(share(share(out.text(w.name()).flag(w.rate()), w.asked()), w.inForce()), w.fixed())
+        p.wholes().forEach(w -> share(share(share(out.text(w.name()).flag(w.rate()), w.asked()), w.inForce()),
+                w.fixed())
                 .varint(w.nodes()));
         out.varint(p.members().size());
         p.members().forEach(m -> out.varint(m.session()).varint(m.epoch()).varint(m.length().toNanos())
@@ -117,14 +121,15 @@
         return new Budgets.Picture(changes, wholes, members, parts);
     }
 
-    // ---- asked and told
+    // ---- requests and answers
 
     static void ask(BinaryWriter out, Ask a) {
         if (a.what() instanceof Ask.Join w) {
             EnvelopeCodec.writeRequestHeader(out, 22, a).varint(w.length().toNanos()).varint(w.lasting().toNanos());
         } else if (a.what() instanceof Ask.Parts w) {
             boolean weighted = w.wishes().stream().anyMatch(x -> x.weight() != Division.NORMAL);
-            EnvelopeCodec.writeRequestHeader(out, weighted ? WEIGHTED : 23, a).varint(w.epoch()).varint(w.known()).varint(w.wishes().size());
+            EnvelopeCodec.writeRequestHeader(out, weighted ? WEIGHTED : 23, a).varint(w.epoch()).varint(w.known())
+                    .varint(w.wishes().size());
             w.wishes().forEach(x -> {
                 out.text(x.budget()).varint(x.amount());
                 if (weighted) {
@@ -145,7 +150,7 @@
             case WEIGHTED -> new Ask.Parts(in.varint(), in.varint(), wishes(in, true));
             case 24 -> new Ask.Give(in.varint(), in.text(), share(in));
             case 25 -> new Ask.Leave();
-            default -> throw new MalformedException("a message of kind " + kind + ", which this version does not know");
+            default -> throw new MalformedException("unknown message kind: " + kind);
         };
     }
 
@@ -158,16 +163,17 @@
         return wishes;
     }
 
-    static void allocations(BinaryWriter out, List<Ask.Told> told) {
-        out.varint(told.size());
-        told.forEach(t -> share(share(out.text(t.budget()).varint(t.epoch()), t.amount()), t.target()).varint(t.change()));
+    static void allocations(BinaryWriter out, List<Ask.Told> allocations) {
+        out.varint(allocations.size());
+        allocations.forEach(t -> share(share(out.text(t.budget()).varint(t.epoch()), t.amount()), t.target())
+                .varint(t.change()));
     }
 
     static List<Ask.Told> allocations(BinaryReader in) throws MalformedException {
-        List<Ask.Told> told = new ArrayList<>();
+        List<Ask.Told> allocations = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
-            told.add(new Ask.Told(in.text(), in.varint(), share(in), share(in), in.varint()));
+            allocations.add(new Ask.Told(in.text(), in.varint(), share(in), share(in), in.varint()));
         }
-        return told;
+        return allocations;
     }
 }
--- a/src/main/java/rowanplank/fleet/wire/EnvelopeCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/EnvelopeCodec.java
@@ -10,13 +10,16 @@
 import rowanplank.ledger.Ask;
 
 /**
- * Datagrams between nodes as bytes: two letters, the version, eight bytes of the fleet's name, the sender and what it
- * understands, what it says, and a checksum (CRC-32C) of all that. What is cut, spoilt, of another fleet or of another version is refused whole.
+ * Encodes and decodes datagrams between nodes: two magic bytes, the format version, an eight-byte hash of the fleet's
+ * name, the sender's name, incarnation and understood version, the content, and a CRC-32C checksum of all that.
+ * Datagrams that are truncated, corrupted, of another fleet or of another format version are rejected.
  */
 public final class EnvelopeCodec {
-    /** With the heads of IP and UDP this passes any network whole. */
+    /** The largest datagram in bytes. With IP and UDP headers it passes any network without fragmentation. */
     public static final int MAX_DATAGRAM_BYTES = 1400;
-    /** The most of entries, or of a piece of a snapshot, that leaves room for all else. */
+    /**
+     * The limit in bytes of the entries, or of the snapshot chunk, in a datagram; it leaves room for everything else.
+     */
     public static final int MAX_CONTENT_BYTES = 1000;
     /** The longest name of a node, a fleet or a lease, in bytes. */
     public static final int MAX_NAME_BYTES = 64;
@@ -25,9 +28,9 @@
     private static final int ANSWER = 32;
     private static final int ANSWER_WITH_PARTS = 63;
     private static final int ANSWER_WITH_LINE = 62;
-    /** Asks that came with version 5 of the ledger's entries; those before are below {@link #ANSWER}. */
+    /** Request kinds introduced with version 5 of ledger entries; earlier ones are below {@link #ANSWER}. */
     private static final int POLL_WITH_SERVICE = 33;
-    private static final int LATER_STAFF = 34;
+    private static final int STAFF_WITH_WINDOW = 34;
     private static final int LOOK = 35;
 
     private final long fleet;
@@ -36,6 +39,7 @@
         this.fleet = LongHashFunction.xx().hashChars(fleet);
     }
 
+    /** Encodes a datagram. */
     public ByteBuffer write(Envelope e) {
         BinaryWriter out = new BinaryWriter().octet('r').octet('p').octet(VERSION).int64(fleet).text(e.sender())
                 .int64(e.incarnation()).octet(e.understoodVersion());
@@ -48,7 +52,8 @@
         } else {
             boolean parts = !e.answer().parts().isEmpty();
             boolean line = e.answer().line() != null;
-            out.octet(parts ? ANSWER_WITH_PARTS : line ? ANSWER_WITH_LINE : ANSWER).int64(e.answer().incarnation()).varint(e.answer().number());
+            out.octet(parts ? ANSWER_WITH_PARTS : line ? ANSWER_WITH_LINE : ANSWER).int64(e.answer().incarnation())
+                    .varint(e.answer().number());
             LedgerCodec.result(out, e.answer().result());
             if (parts) {
                 BudgetCodec.allocations(out, e.answer().parts());
@@ -57,7 +62,8 @@
             }
         }
         byte[] bytes = out.toByteArray();
-        return ByteBuffer.allocate(bytes.length + CHECKSUM_BYTES).put(bytes).putInt(checksum(ByteBuffer.wrap(bytes))).flip();
+        return ByteBuffer.allocate(bytes.length + CHECKSUM_BYTES).put(bytes).putInt(checksum(ByteBuffer.wrap(bytes)))
+                .flip();
     }
 
     private static int checksum(ByteBuffer bytes) {
@@ -103,7 +109,8 @@
         } else if (a.what() instanceof Ask.Read w) {
             writeRequestHeader(out, 20, a).text(w.lease());
         } else if (a.what() instanceof Ask.Poll w && w.service() != null) {
-            WorkCodec.service(writeRequestHeader(out, POLL_WITH_SERVICE, a).text(w.machine()).text(w.hall()), w.service());
+            WorkCodec.service(writeRequestHeader(out, POLL_WITH_SERVICE, a).text(w.machine()).text(w.hall()),
+                    w.service());
         } else if (a.what() instanceof Ask.Poll w) {
             writeRequestHeader(out, 26, a).text(w.machine()).text(w.hall());
         } else if (a.what() instanceof Ask.Step w) {
@@ -111,7 +118,8 @@
         } else if (a.what() instanceof Ask.Look w) {
             writeRequestHeader(out, LOOK, a).varint(w.from());
         } else if (a.what() instanceof Ask.Staff w && WorkCodec.needsLatestVersion(w.words())) {
-            WorkCodec.window(WorkCodec.staff(writeRequestHeader(out, LATER_STAFF, a), w.words()), w.words().window());
+            WorkCodec.window(WorkCodec.staff(writeRequestHeader(out, STAFF_WITH_WINDOW, a), w.words()),
+                    w.words().window());
         } else if (a.what() instanceof Ask.Staff w) {
             WorkCodec.staff(writeRequestHeader(out, 28, a), w.words());
         } else {
@@ -123,49 +131,56 @@
         return out.octet(kind).varint(a.session()).varint(a.floor()).varint(a.number());
     }
 
-    /** @throws MalformedException if it is not whole, not of this fleet, or not of this version */
+    /**
+     * Decodes a datagram.
+     *
+     * @throws MalformedException if it is truncated, corrupted, of another fleet or of another format version
+     */
     public Envelope read(ByteBuffer datagram) throws MalformedException {
         int length = datagram.remaining() - CHECKSUM_BYTES;
         if (length < 0) {
-            throw new MalformedException("ends too early");
+            throw new MalformedException("shorter than its checksum");
         }
         ByteBuffer content = datagram.slice(datagram.position(), length);
         if (datagram.getInt(datagram.position() + length) != checksum(content.duplicate())) {
-            throw new MalformedException("spoilt on its way");
+            throw new MalformedException("checksum mismatch");
         }
         BinaryReader in = new BinaryReader(content);
         if (in.octet() != 'r' || in.octet() != 'p') {
-            throw new MalformedException("no datagram of a fleet");
+            throw new MalformedException("not a fleet datagram");
         }
         int version = in.octet();
         if (version != VERSION) {
-            throw new MalformedException("version " + version + ", and this one knows " + VERSION);
+            throw new MalformedException("unsupported format version " + version + ", expected " + VERSION);
         }
         if (in.int64() != fleet) {
-            throw new MalformedException("of another fleet");
+            throw new MalformedException("belongs to another fleet");
         }
         Envelope e = content(in.text(), in.int64(), in.octet(), in);
         in.end();
         return e;
     }
 
-    private static Envelope content(String sender, long incarnation, int knows, BinaryReader in) throws MalformedException {
+    private static Envelope content(String sender, long incarnation, int understoodVersion,
+            BinaryReader in) throws MalformedException {
         int kind = in.octet();
         if (kind < 16) {
-            return Envelope.of(sender, incarnation, knows, message(kind, in));
+            return Envelope.of(sender, incarnation, understoodVersion, message(kind, in));
         }
         if (kind < ANSWER || kind >= POLL_WITH_SERVICE && kind <= LOOK) {
             long session = in.varint();
             long floor = in.varint();
             long number = in.varint();
-            return Envelope.of(sender, incarnation, knows, new Ask(sender, incarnation, session, floor, number, what(kind, in)));
+            return Envelope.of(sender, incarnation, understoodVersion,
+                    new Ask(sender, incarnation, session, floor, number, what(kind, in)));
         }
         if (kind == ANSWER || kind == ANSWER_WITH_PARTS || kind == ANSWER_WITH_LINE) {
-            return Envelope.of(sender, incarnation, knows, new Ask.Answer(in.int64(), in.varint(), LedgerCodec.result(in),
+            return Envelope.of(sender, incarnation, understoodVersion,
+                    new Ask.Answer(in.int64(), in.varint(), LedgerCodec.result(in),
                     kind == ANSWER_WITH_PARTS ? BudgetCodec.allocations(in) : List.of(),
                     kind == ANSWER_WITH_LINE ? WorkCodec.line(in) : null));
         }
-        return Envelope.of(sender, incarnation, knows, GossipCodec.read(kind, in));
+        return Envelope.of(sender, incarnation, understoodVersion, GossipCodec.read(kind, in));
     }
 
     private static Message message(int kind, BinaryReader in) throws MalformedException {
@@ -179,14 +194,14 @@
                     size(in), size(in), in.bytes());
             case 6 -> new Message.SnapshotChunkResponse(in.varint(), in.varint(), in.varint(), size(in));
             case 7 -> new Message.TimeoutNow(in.varint());
-            default -> throw new MalformedException("a message of kind " + kind + ", which this version does not know");
+            default -> throw new MalformedException("unknown message kind: " + kind);
         };
     }
 
     private static int size(BinaryReader in) throws MalformedException {
         long size = in.varint();
         if (size < 0 || size > Integer.MAX_VALUE) {
-            throw new MalformedException("no size: " + size);
+            throw new MalformedException("invalid size: " + size);
         }
         return (int) size;
     }
@@ -204,7 +219,7 @@
             case 28 -> new Ask.Staff(WorkCodec.staff(in));
             case POLL_WITH_SERVICE -> new Ask.Poll(in.text(), in.text(), WorkCodec.service(in));
             case LOOK -> new Ask.Look(size(in));
-            case LATER_STAFF -> new Ask.Staff(WorkCodec.staffWithWindow(in));
+            case STAFF_WITH_WINDOW -> new Ask.Staff(WorkCodec.staffWithWindow(in));
             default -> BudgetCodec.what(kind, in);
         };
     }
--- a/src/main/java/rowanplank/fleet/wire/LedgerCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/LedgerCodec.java
@@ -14,27 +14,34 @@
 import rowanplank.ledger.Work;
 
 /**
- * The ledger's commands and pictures as bytes. Each begins with its version: a voter that does not know it says so and
- * stops, rather than leave out what the others do.
+ * Encodes and decodes the ledger's commands and snapshots. Each starts with its version. A voter that does not know
+ * the version stops with an error instead of skipping what the other voters apply.
  */
 public final class LedgerCodec {
-    /** The latest that is known here, of commands and of pictures; what an earlier one knew is written as its. */
+    /**
+     * The latest known version of commands and snapshots. Content that an earlier version can express is written in
+     * that version.
+     */
     public static final int VERSION = 5;
-    /** From here on runs once in a period; then budgets; the order of work; from {@link #VERSION} on its windows and halts. */
+    /**
+     * The versions that introduced runs once per period, budgets, and maintenance plans. {@link #VERSION} added the
+     * plans' time windows and halts.
+     */
     private static final int RUNS_VERSION = 2;
     private static final int BUDGETS_VERSION = 3;
     private static final int WORK_VERSION = 4;
-    /** What all versions understand. */
+    /** The first version, which every process understands. */
     public static final int FIRST_VERSION = 1;
 
     private static final int FIRST_WORK_KIND = 17;
 
     private LedgerCodec() { }
 
-    /** Which version a voter has to know to understand it. */
+    /** The version that a voter has to understand to apply a command. */
     public static int versionOf(Command command) {
         return command instanceof Command.Claim ? RUNS_VERSION : isBudgetCommand(command) ? BUDGETS_VERSION
-                : WorkCodec.needsLatestVersion(command) ? VERSION : WorkCodec.isWorkCommand(command) ? WORK_VERSION : FIRST_VERSION;
+                : WorkCodec.needsLatestVersion(command) ? VERSION : WorkCodec.isWorkCommand(command) ? WORK_VERSION
+                : FIRST_VERSION;
     }
 
     private static boolean isBudgetCommand(Command c) {
@@ -43,12 +50,14 @@
                 || c instanceof Command.Lapse || c instanceof Command.Retire;
     }
 
-    /** What is asked as a process can read it that understands no later version: without what came behind it. */
+    /** Returns a request in a form that a process with this version can read, without fields introduced later. */
     public static Ask downgrade(Ask ask, int known) {
         return known >= VERSION || !(ask.what() instanceof Ask.Poll p) || p.service() == null ? ask
-                : new Ask(ask.node(), ask.incarnation(), ask.session(), ask.floor(), ask.number(), new Ask.Poll(p.machine(), p.hall()));
+                : new Ask(ask.node(), ask.incarnation(), ask.session(), ask.floor(), ask.number(),
+                new Ask.Poll(p.machine(), p.hall()));
     }
 
+    /** Encodes a command. */
     public static byte[] command(Command command) {
         BinaryWriter out = new BinaryWriter().octet(versionOf(command));
         if (command instanceof Command.Open c) {
@@ -78,8 +87,10 @@
     }
 
     /**
-     * @param known the latest version that whoever reads it understands
-     * @throws MalformedException also where it is of a later version, or of a kind that is not known here
+     * Decodes a command.
+     *
+     * @param known the latest version that the reader understands
+     * @throws MalformedException if it is invalid, of a later version or of an unknown kind
      */
     public static Command command(byte[] bytes, int known) throws MalformedException {
         BinaryReader in = new BinaryReader(bytes);
@@ -105,7 +116,8 @@
     private static int version(BinaryReader in, int known) throws MalformedException {
         int version = in.octet();
         if (version < FIRST_VERSION || version > known) {
-            throw new MalformedException("version " + version + ", and this one knows " + FIRST_VERSION + " to " + known);
+            throw new MalformedException("unsupported version " + version + ", supported are " + FIRST_VERSION + " to "
+                    + known);
         }
         return version;
     }
@@ -125,11 +137,12 @@
     static Result result(BinaryReader in) throws MalformedException {
         int kind = in.octet();
         if (kind >= Result.Kind.values().length) {
-            throw new MalformedException("no such result: " + kind);
+            throw new MalformedException("unknown result kind: " + kind);
         }
         return new Result(Result.Kind.values()[kind], in.varint(), in.text());
     }
 
+    /** Encodes a snapshot of the ledger in the version of its level. */
     public static byte[] snapshot(Ledger.Picture p) {
         int version = Math.max(FIRST_VERSION, Math.min(p.level(), VERSION));
         BinaryWriter out = new BinaryWriter().octet(version).varint(p.applied()).int64(p.chain()).varint(p.lastFence());
@@ -155,7 +168,11 @@
         return out.toByteArray();
     }
 
-    /** @throws MalformedException also where it is of a version that is not known here */
+    /**
+     * Decodes a snapshot of the ledger; an empty array is the empty ledger.
+     *
+     * @throws MalformedException if it is invalid or of an unknown version
+     */
     public static Ledger.Picture snapshot(byte[] bytes) throws MalformedException {
         if (bytes.length == 0) {
             return Ledger.Picture.empty();
@@ -179,7 +196,8 @@
             runs.add(new Ledger.Run(in.text(), in.varint(), in.varint()));
         }
         Budgets.Picture budgets = version > RUNS_VERSION ? BudgetCodec.snapshot(in) : Budgets.Picture.empty();
-        Work.Picture work = version > BUDGETS_VERSION ? WorkCodec.snapshot(in, version > WORK_VERSION) : Work.Picture.empty();
+        Work.Picture work = version > BUDGETS_VERSION ? WorkCodec.snapshot(in, version > WORK_VERSION)
+                : Work.Picture.empty();
         in.end();
         return new Ledger.Picture(applied, chain, lastFence, level, sessions, leases, runs, budgets, work);
     }
--- a/src/main/java/rowanplank/fleet/wire/LogCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/LogCodec.java
@@ -6,7 +6,7 @@
 import rowanplank.agreement.VoterConfig;
 import rowanplank.fleet.wire.BinaryReader.MalformedException;
 
-/** Entries of the log as bytes, alike in messages and on disk. */
+/** Encodes and decodes log entries, in the same way for messages and for the state file. */
 final class LogCodec {
     private static final int UNCHANGED = 0;
     private static final int VOTERS = 1;
@@ -49,7 +49,7 @@
             case UNCHANGED -> null;
             case VOTERS -> VoterConfig.of(names(in));
             case JOINT -> new VoterConfig(names(in), names(in));
-            default -> throw new MalformedException("no kind of change of voters: " + kind);
+            default -> throw new MalformedException("unknown kind of voter change: " + kind);
         };
     }
 
