--- a/src/main/java/rowanplank/fleet/wire/WorkCodec.java
+++ b/src/main/java/rowanplank/fleet/wire/WorkCodec.java
@@ -10,16 +10,17 @@
 import rowanplank.ledger.Window;
 import rowanplank.ledger.Work;
 
-/** What concerns the order of work, as bytes: commands, pictures, and a machine's line. */
+/** Encodes and decodes what concerns the maintenance plan: commands, ledger snapshots, and the state of a machine. */
 final class WorkCodec {
     private WorkCodec() { }
 
+    /** Whether a command concerns the maintenance plan. */
     static boolean isWorkCommand(Command c) {
         return c instanceof Command.Announce || c instanceof Command.WorkTerms || c instanceof Command.Turn
                 || c instanceof Command.Step || c instanceof Command.Staff || c instanceof Command.Halt;
     }
 
-    /** Whether it came with the version behind that of the first order of work. */
+    /** Whether a command was introduced with the version after the first one that has maintenance plans. */
     static boolean needsLatestVersion(Command c) {
         return c instanceof Command.Halt
                 || c instanceof Command.Staff s && (s.window() != null || s.what() == Command.StaffWord.FORGET);
@@ -52,7 +53,7 @@
             case 21 -> staff(in);
             case 26 -> staffWithWindow(in);
             case 27 -> new Command.Halt(in.text());
-            default -> throw new MalformedException("a command of kind " + kind + ", which this version does not know");
+            default -> throw new MalformedException("unknown command kind: " + kind);
         };
     }
 
@@ -64,7 +65,8 @@
 
     static Command.Staff staffWithWindow(BinaryReader in) throws MalformedException {
         Command.Staff c = staff(in);
-        return new Command.Staff(c.id(), c.what(), c.machines(), c.by(), c.why(), c.first(), c.restart(), c.longestMs(), window(in));
+        return new Command.Staff(c.id(), c.what(), c.machines(), c.by(), c.why(), c.first(), c.restart(),
+                c.longestMs(), window(in));
     }
 
     static void window(BinaryWriter out, Window w) {
@@ -72,18 +74,19 @@
     }
 
     private static Window window(BinaryReader in) throws MalformedException {
-        boolean is = in.flag();
+        boolean isPresent = in.flag();
         long from = in.varint();
         long until = in.varint();
         try {
-            return is ? new Window(Math.toIntExact(from), Math.toIntExact(until)) : null;
+            return isPresent ? new Window(Math.toIntExact(from), Math.toIntExact(until)) : null;
         } catch (IllegalArgumentException | ArithmeticException e) {
             throw new MalformedException(e.getMessage());
         }
     }
 
     static void service(BinaryWriter out, Ask.Service s) {
-        out.varint(s.served()).varint(s.refused()).varint(s.failed()).varint(s.open()).varint(s.used()).varint(s.servers());
+        out.varint(s.served()).varint(s.refused()).varint(s.failed()).varint(s.open()).varint(s.used())
+                .varint(s.servers());
     }
 
     static Ask.Service service(BinaryReader in) throws MalformedException {
@@ -91,7 +94,8 @@
     }
 
     static Command.Staff staff(BinaryReader in) throws MalformedException {
-        return new Command.Staff(in.int64(), enumValue(Command.StaffWord.values(), in), LogCodec.names(in), in.text(), in.text(),
+        return new Command.Staff(in.int64(), enumValue(Command.StaffWord.values(), in), LogCodec.names(in), in.text(),
+                in.text(),
                 in.flag(), in.flag(), in.varint());
     }
 
@@ -102,12 +106,12 @@
     private static <T> T enumValue(T[] values, BinaryReader in) throws MalformedException {
         int which = in.octet();
         if (which >= values.length) {
-            throw new MalformedException("no such word: " + which);
+            throw new MalformedException("unknown enum value: " + which);
         }
         return values[which];
     }
 
-    /** Without its window, which concerns the leader alone. */
+    /** Writes a machine's state without its time window, which only the leader needs. */
     static void line(BinaryWriter out, Work.Line l) {
         out.text(l.machine()).octet(l.state().ordinal()).varint(l.asked()).text(l.by()).text(l.why()).flag(l.first())
                 .flag(l.restart()).varint(l.longestMs()).varint(l.fence());
@@ -133,7 +137,11 @@
         return numbers;
     }
 
-    /** @param windows whether lines are written with theirs */
+    /**
+     * Writes a snapshot of the plan.
+     *
+     * @param windows whether time windows are included
+     */
     static void snapshot(BinaryWriter out, Work.Picture p, boolean windows) {
         out.varint(p.terms().mostOut()).varint(p.terms().mostOutOfHall()).text(p.held()).varint(p.places().size());
         p.places().forEach(x -> out.text(x.node()).text(x.machine()).text(x.hall()));
@@ -161,7 +169,8 @@
         List<Work.Line> lines = new ArrayList<>();
         for (int left = in.count(); left > 0; left--) {
             Work.Line l = line(in);
-            lines.add(windows ? new Work.Line(l.machine(), l.state(), l.asked(), l.by(), l.why(), l.first(), l.restart(),
+            lines.add(windows ? new Work.Line(l.machine(), l.state(), l.asked(), l.by(), l.why(), l.first(),
+                    l.restart(),
                     l.longestMs(), l.fence(), l.said(), l.cancelled(), window(in)) : l);
         }
         List<Work.Past> history = new ArrayList<>();
--- a/src/main/java/rowanplank/membership/MemberUpdate.java
+++ b/src/main/java/rowanplank/membership/MemberUpdate.java
@@ -1,30 +1,39 @@
 package rowanplank.membership;
 
 /**
- * What is said of a node.
+ * An update about a member.
  *
- * @param address where it says that it is found
- * @param incarnation of what it says of itself: it alone raises it, and begins above where a process before it began
- * @param serves whether it takes clients: a node may live for its peers and be cut off from those, or drained
- * @param by who suspects it, or has found it dead; empty else
+ * @param name the member's name
+ * @param address where the member says it can be reached
+ * @param incarnation version of what the member says about itself. Only the member raises it, and a new process starts
+ *     above its predecessor
+ * @param state the state of the member
+ * @param serves whether it accepts clients. A node may be alive for its peers but cut off from clients, or drained
+ * @param by the member that suspects it or has found it failed; empty otherwise
  */
 public record MemberUpdate(String name, String address, long incarnation, State state, boolean serves, String by) {
-    /** In the order in which one beats another of the same incarnation. */
+    /**
+     * The state of a member, in ascending order of precedence within one incarnation. {@code DEAD} means failed;
+     * {@code LEFT} means shut down in order.
+     */
     public enum State { ALIVE, SUSPECT, DEAD, LEFT }
 
+    /** Whether this update replaces another one about the same member. */
     boolean supersedes(MemberUpdate other) {
         return incarnation > other.incarnation || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
+    /** The same update with another state, as reported by a member. */
     MemberUpdate withState(State other, String by) {
         return new MemberUpdate(name, address, incarnation, other, serves, by);
     }
 
-    /** About what it takes in a datagram. */
+    /** The approximate size in a datagram in bytes. */
     int bytes() {
         return name.length() + address.length() + by.length() + 16;
     }
 
+    /** Whether the member is not known to have failed or left. */
     boolean isAliveOrSuspect() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
--- a/src/main/java/rowanplank/membership/Membership.java
+++ b/src/main/java/rowanplank/membership/Membership.java
@@ -13,72 +13,94 @@
 import rowanplank.membership.MemberUpdate.State;
 
 /**
- * Who lives, as a hint that decides nothing about safety: SWIM (Das, Gupta and Motivala, 2002) with Lifeguard (Dadgar,
- * Phillips and Currey, 2017). Each period one member is asked, the others in turn; where it does not answer, three others ask
- * it; where that brings nothing it is suspected, and dead once nobody, itself included, has said otherwise in time. Who is
- * itself slow to hear, or is suspected, asks more slowly and suspects later. News rides on what is sent anyway; now and
- * then a node takes the whole list of another, page by page, and calls those that are lost, so that what was parted
- * finds together again.
+ * Failure detection and membership by SWIM (Das, Gupta and Motivala, 2002) with the Lifeguard extensions (Dadgar,
+ * Phillips and Currey, 2017). Its view of which members are alive is only a hint; no safety property depends on it.
  *
- * <p>Bounds: {@value #MAX_MEMBERS} members, {@value #MAX_UPDATE_BYTES} bytes of news a message, {@value #MAX_RELAYED_PINGS}
- * questions asked for others. A message costs O(members).
+ * <p>In each period one member is probed, in a shuffled round-robin order. If it does not answer, {@value
+ * #INDIRECT_PROBES} other members are asked to probe it; if that fails too it is suspected, and it is considered
+ * failed unless the suspicion is refuted in time, by itself or by others. A node that misses answers itself, or finds
+ * itself suspected, probes more slowly and so suspects others later. Updates are piggybacked on all messages. From
+ * time to time a node fetches the complete member list of another one, page by page, and pings members that are
+ * missing, so that a partitioned group merges again.
+ *
+ * <p>Limits: {@value #MAX_MEMBERS} members, {@value #MAX_UPDATE_BYTES} bytes of updates per message, {@value
+ * #MAX_RELAYED_PINGS} pings in progress on behalf of others. A message costs O(members).
  */
 public class Membership {
+    /** The limit of known members; further ones are ignored. */
     public static final int MAX_MEMBERS = 1000;
+    /** The limit in bytes of the updates in one message. */
     public static final int MAX_UPDATE_BYTES = 900;
     private static final int MAX_RELAYED_PINGS = 64;
     private static final int INDIRECT_PROBES = 3;
     private static final int MAX_HEALTH_PENALTY = 4;
-    /** News is passed on so many times the logarithm of the members. */
+    /** An update is retransmitted this many times the binary logarithm of the number of members. */
     private static final int RETRANSMIT_FACTOR = 3;
-    /** A suspect is dead after so many periods, times the decimal logarithm of the members, where others agree. */
+    /**
+     * The suspicion timeout in periods if enough other members confirm the suspicion; it grows with the decimal
+     * logarithm of the number of members.
+     */
     private static final int SUSPICION_PERIODS = 4;
-    /** And so many times as long where nobody has said so as well. */
+    /** The factor by which the suspicion timeout is longer if no other member confirms the suspicion. */
     private static final int UNCONFIRMED_FACTOR = 4;
     private static final int CONFIRMATIONS = 2;
     private static final int LIST_SYNC_PERIODS = 16;
     private static final int FORGET_PERIODS = 300;
 
     /**
-     * @param address where others find this node, as it tells them
-     * @param incarnation above that of any process of this name before
-     * @param knownAddresses whom it begins with, and where it finds them, whatever they say of themselves
-     * @param probePeriod how often it asks somebody
+     * The configuration of a node.
+     *
+     * @param self the name of this node
+     * @param address the address of this node as it announces it
+     * @param incarnation a number above that of any earlier process of this name
+     * @param knownAddresses members to contact first, by name, with addresses that take precedence over announced ones
+     * @param probePeriod how often a member is probed
+     * @param seed of the probe order and the choice of helpers
      */
-    public record Settings(String self, String address, long incarnation, Map<String, String> knownAddresses, Duration probePeriod,
-            long seed) {
+    public record Settings(String self, String address, long incarnation, Map<String, String> knownAddresses,
+            Duration probePeriod, long seed) {
         public Settings {
             knownAddresses = new TreeMap<>(knownAddresses);
         }
     }
 
-    /** What it asks of its owner; none of these calls back into it. */
+    /** Callbacks to the owner. Implementations must not call back into the protocol. */
     public interface Actions {
-        void send(String address, GossipMessage note);
+        /** Sends a message to an address; it may get lost. */
+        void send(String address, GossipMessage message);
 
-        /** What is known of a member has changed. */
-        void memberChanged(MemberUpdate news);
+        /** The state of a member, or whether it serves clients, has changed. */
+        void memberChanged(MemberUpdate update);
 
-        /** Another process says that it is this node. */
+        /** Another process, at this address, uses the name of this node. */
         void duplicateName(String address);
     }
 
-    /** A member as this node knows it. @param since when it came to be so, here */
+    /**
+     * A member as this node sees it.
+     *
+     * @param update the latest update about it
+     * @param since when this node saw it enter its state
+     */
     public record MemberState(MemberUpdate update, Instant since) { }
 
+    /** A known member with the bookkeeping for its latest update. */
     private static final class Member {
         MemberUpdate update;
         Instant since;
-        /** How often the news was passed on. */
+        /** How often the update has been sent. */
         int timesSent;
         final TreeSet<String> suspectedBy = new TreeSet<>();
-        /** Somebody of its name says that it is elsewhere: whoever comes by that name next is told what is known. */
+        /**
+         * Whether a process at another address uses the same name; the next message to this name then includes what is
+         * known about it.
+         */
         boolean contested;
 
-        Member(MemberUpdate news, Instant since) {
-            this.update = news;
+        Member(MemberUpdate update, Instant since) {
+            this.update = update;
             this.since = since;
-            suspectedBy.add(news.by());
+            suspectedBy.add(update.by());
         }
 
         void replaceUpdate(MemberUpdate other) {
@@ -87,6 +109,7 @@
         }
     }
 
+    /** The probe of the current period. */
     private static final class Probe {
         final String target;
         final long number;
@@ -95,13 +118,14 @@
         boolean indirectSent;
         int silentHelpers;
 
-        Probe(String target, long number, Instant helpAt) {
+        Probe(String target, long number, Instant indirectAt) {
             this.target = target;
             this.number = number;
-            this.indirectAt = helpAt;
+            this.indirectAt = indirectAt;
         }
     }
 
+    /** A ping on behalf of another member: its address, the number it uses, and when to give up. */
     private record RelayedPing(String address, long number, Instant until) { }
 
     private final Settings settings;
@@ -116,6 +140,7 @@
     private Instant nextPeriod;
     private long lastNumber;
     private long periodCount;
+    /** Lifeguard's local health score: 0 is healthy; higher values make probing slower. */
     private int healthPenalty;
     private boolean joined;
 
@@ -128,18 +153,19 @@
         nextPeriod = now;
     }
 
-    // ---- asked
+    // ---- queries
 
-    /** All but this node, in the order of their names. */
+    /** All members except this node, ordered by name. */
     public List<MemberState> members() {
         return members.values().stream().map(m -> new MemberState(m.update, m.since)).toList();
     }
 
-    /** What this node says of itself. */
+    /** The update that this node sends about itself. */
     public MemberUpdate self() {
         return self;
     }
 
+    /** When {@link #onTime} has to be called next. */
     public Instant due() {
         Instant due = nextPeriod;
         if (probe != null && !probe.acked && !probe.indirectSent) {
@@ -158,21 +184,21 @@
         return a.isBefore(b) ? a : b;
     }
 
-    // ---- told
+    // ---- events
 
-    /** Whether this node takes clients. */
+    /** Sets whether this node accepts clients. */
     public void setServing(boolean serves) {
         if (serves != self.serves()) {
             self = new MemberUpdate(self.name(), self.address(), self.incarnation() + 1, self.state(), serves, "");
         }
     }
 
-    /** Whom it is to find from now on, and where, beside all that it has met. */
+    /** Replaces the members to contact besides those that are already known, and their addresses. */
     public void setKnownAddresses(Map<String, String> others) {
         knownAddresses = new TreeMap<>(others);
     }
 
-    /** It ends, in order: others need not find out. */
+    /** Announces that this node shuts down, so that others need not detect it. */
     public void leave() {
         self = self.withState(State.LEFT, "");
         for (Member m : randomAlive(INDIRECT_PROBES, "")) {
@@ -180,30 +206,31 @@
         }
     }
 
-    public void onMessage(Instant now, String from, String address, GossipMessage note) {
+    /** Handles a message of a member; {@code address} is where it came from. */
+    public void onMessage(Instant now, String from, String address, GossipMessage message) {
         if (from.equals(settings.self())) {
             return;
         }
-        note.updates().forEach(n -> applyUpdate(now, n));
-        if (note instanceof GossipMessage.Ping p) {
+        message.updates().forEach(n -> applyUpdate(now, n));
+        if (message instanceof GossipMessage.Ping p) {
             send(from, address, new GossipMessage.Ack(p.number(), List.of()));
-        } else if (note instanceof GossipMessage.PingRequest p) {
+        } else if (message instanceof GossipMessage.PingRequest p) {
             relayPing(now, from, address, p);
-        } else if (note instanceof GossipMessage.Ack a) {
+        } else if (message instanceof GossipMessage.Ack a) {
             onAck(from, address, a.number());
-        } else if (note instanceof GossipMessage.Nack n && probe != null && probe.number == n.number()) {
+        } else if (message instanceof GossipMessage.Nack n && probe != null && probe.number == n.number()) {
             probe.silentHelpers--;
-        } else if (note instanceof GossipMessage.MemberListRequest l) {
+        } else if (message instanceof GossipMessage.MemberListRequest l) {
             sendMemberList(from, address, l.after());
-        } else if (note instanceof GossipMessage.MemberListResponse l && !l.last().isEmpty()) {
+        } else if (message instanceof GossipMessage.MemberListResponse l && !l.last().isEmpty()) {
             send(from, address, new GossipMessage.MemberListRequest(l.last(), List.of()));
         }
     }
 
     private void onAck(String from, String address, long number) {
-        RelayedPing errand = relayedPings.remove(number);
-        if (errand != null) {
-            send("", errand.address(), new GossipMessage.Ack(errand.number(), List.of()));
+        RelayedPing relayed = relayedPings.remove(number);
+        if (relayed != null) {
+            send("", relayed.address(), new GossipMessage.Ack(relayed.number(), List.of()));
         }
         if (probe != null && probe.number == number && !probe.acked) {
             probe.acked = true;
@@ -222,7 +249,8 @@
         }
         Member target = members.get(p.target());
         relayedPings.put(++lastNumber, new RelayedPing(address, p.number(), now.plus(timeout())));
-        send(p.target(), target == null ? p.address() : address(target.update), new GossipMessage.Ping(lastNumber, List.of()));
+        send(p.target(), target == null ? p.address() : address(target.update),
+                new GossipMessage.Ping(lastNumber, List.of()));
     }
 
     private void sendMemberList(String from, String address, String after) {
@@ -242,7 +270,7 @@
         actions.send(address, new GossipMessage.MemberListResponse(last, page));
     }
 
-    // ---- news
+    // ---- updates
 
     private void applyUpdate(Instant now, MemberUpdate n) {
         if (n.name().equals(settings.self())) {
@@ -257,12 +285,12 @@
                 actions.memberChanged(n);
             }
         } else if (n.supersedes(m.update)) {
-            boolean other = n.state() != m.update.state() || n.serves() != m.update.serves();
+            boolean hasChanged = n.state() != m.update.state() || n.serves() != m.update.serves();
             m.since = n.state() == m.update.state() && n.state() != State.SUSPECT ? m.since : now;
             m.replaceUpdate(n);
             m.suspectedBy.clear();
             m.suspectedBy.add(n.by());
-            if (other) {
+            if (hasChanged) {
                 actions.memberChanged(n);
             }
         } else if (n.state() == State.ALIVE && !n.address().equals(m.update.address())) {
@@ -270,13 +298,13 @@
         } else if (n.state() == State.SUSPECT && m.update.state() == State.SUSPECT
                 && n.incarnation() == m.update.incarnation() && m.suspectedBy.size() <= CONFIRMATIONS
                 && m.suspectedBy.add(n.by())) {
-            m.replaceUpdate(n); // so that the others hear of each who says so
+            m.replaceUpdate(n); // passes on that one more member suspects it
         }
     }
 
     /**
-     * Whoever is thought dead and lives says so, louder; and so does who is said to serve, or not to, by an earlier process of
-     * its name, which came to the same number.
+     * Refutes wrong updates about this node with a higher incarnation: that it is suspected or has failed, or what an
+     * earlier process of the same name and incarnation said about serving clients.
      */
     protected void applyUpdateAboutSelf(MemberUpdate n) {
         boolean duplicate = n.state() == State.ALIVE && n.incarnation() >= self.incarnation()
@@ -284,62 +312,70 @@
         if (duplicate) {
             actions.duplicateName(n.address());
         }
-        boolean wrong = n.state() != State.ALIVE && n.incarnation() >= self.incarnation();
-        boolean earlier = n.incarnation() == self.incarnation() && n.serves() != self.serves();
-        if ((wrong || earlier || n.incarnation() > self.incarnation()) && self.state() != State.LEFT) {
+        boolean isRefutable = n.state() != State.ALIVE && n.incarnation() >= self.incarnation();
+        boolean isOutdated = n.incarnation() == self.incarnation() && n.serves() != self.serves();
+        if ((isRefutable || isOutdated || n.incarnation() > self.incarnation()) && self.state() != State.LEFT) {
             self = new MemberUpdate(self.name(), self.address(), n.incarnation() + 1, State.ALIVE, self.serves(), "");
-            healthPenalty = Math.min(MAX_HEALTH_PENALTY, healthPenalty + (wrong ? 1 : 0));
+            healthPenalty = Math.min(MAX_HEALTH_PENALTY, healthPenalty + (isRefutable ? 1 : 0));
         }
     }
 
-    /** Puts news to a message, and sends it. @param to empty where the message is passed on */
-    private void send(String to, String address, GossipMessage note) {
-        List<MemberUpdate> news = updatesFor(to);
-        if (note instanceof GossipMessage.Ping p) {
-            actions.send(address, new GossipMessage.Ping(p.number(), news));
-        } else if (note instanceof GossipMessage.Ack a) {
-            actions.send(address, new GossipMessage.Ack(a.number(), news));
-        } else if (note instanceof GossipMessage.PingRequest p) {
-            actions.send(address, new GossipMessage.PingRequest(p.number(), p.target(), p.address(), news));
-        } else if (note instanceof GossipMessage.Nack n) {
-            actions.send(address, new GossipMessage.Nack(n.number(), news));
-        } else if (note instanceof GossipMessage.MemberListRequest l) {
-            actions.send(address, new GossipMessage.MemberListRequest(l.after(), news));
+    /**
+     * Sends a message with piggybacked updates.
+     *
+     * @param to the receiver's name; empty if it is not known
+     */
+    private void send(String to, String address, GossipMessage message) {
+        List<MemberUpdate> updates = updatesFor(to);
+        if (message instanceof GossipMessage.Ping p) {
+            actions.send(address, new GossipMessage.Ping(p.number(), updates));
+        } else if (message instanceof GossipMessage.Ack a) {
+            actions.send(address, new GossipMessage.Ack(a.number(), updates));
+        } else if (message instanceof GossipMessage.PingRequest p) {
+            actions.send(address, new GossipMessage.PingRequest(p.number(), p.target(), p.address(), updates));
+        } else if (message instanceof GossipMessage.Nack n) {
+            actions.send(address, new GossipMessage.Nack(n.number(), updates));
+        } else if (message instanceof GossipMessage.MemberListRequest l) {
+            actions.send(address, new GossipMessage.MemberListRequest(l.after(), updates));
         }
     }
 
-    /** First what is wrongly thought of whom it goes to, then this node, then what was passed on least. */
+    /**
+     * The updates for a message: first one about the receiver if it has to be refuted, then the one about this node,
+     * then the least often sent ones.
+     */
     private List<MemberUpdate> updatesFor(String to) {
-        List<MemberUpdate> news = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         int bytes = self.bytes();
         Member receiver = members.get(to);
         if (receiver != null && (receiver.contested || receiver.update.state() != State.ALIVE)) {
             receiver.contested = false;
-            news.add(receiver.update);
+            updates.add(receiver.update);
             bytes += receiver.update.bytes();
         }
-        int most = RETRANSMIT_FACTOR * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
-        news.add(self); // always: whoever has forgotten this node, or thinks it dead, hears of it again
-        List<Member> fresh = new ArrayList<>();
+        int maxTransmissions = RETRANSMIT_FACTOR * (32 - Integer.numberOfLeadingZeros(members.size() + 1));
+        updates.add(self); // always, so that a node that forgot this one or considers it failed learns of it again
+        List<Member> pending = new ArrayList<>();
         for (Member m : members.values()) {
-            if (m.timesSent < most && m != receiver) {
-                fresh.add(m);
+            if (m.timesSent < maxTransmissions && m != receiver) {
+                pending.add(m);
             }
         }
-        fresh.sort(Comparator.comparingInt(m -> m.timesSent)); // stable, so in the order of names
-        for (Member m : fresh) {
+        pending.sort(Comparator.comparingInt(m -> m.timesSent)); // a stable sort, so ties stay ordered by name
+        for (Member m : pending) {
             bytes += m.update.bytes();
             if (bytes > MAX_UPDATE_BYTES) {
                 break;
             }
-            news.add(m.update);
+            updates.add(m.update);
             m.timesSent++;
         }
-        return news;
+        return updates;
     }
 
     // ---- time
 
+    /** Runs what is due: probes, indirect probes, timeouts of relayed pings and of suspicions. */
     public void onTime(Instant now) {
         if (now.isAfter(nextPeriod.plus(timeout()))) {
             afterStall(now);
@@ -362,11 +398,14 @@
         }
     }
 
-    /** This node was away: the answers that it waits for may be here, and not read yet. */
+    /**
+     * This process was stalled, so answers to its probe may have arrived without having been read yet. Suspicions are
+     * extended by the time it was stalled.
+     */
     private void afterStall(Instant now) {
-        Duration away = Duration.between(nextPeriod, now);
+        Duration stall = Duration.between(nextPeriod, now);
         members.values().stream().filter(m -> m.update.state() == State.SUSPECT)
-                .forEach(m -> m.since = m.since.plus(away));
+                .forEach(m -> m.since = m.since.plus(stall));
         healthPenalty = Math.min(MAX_HEALTH_PENALTY, healthPenalty + 1);
         probe = null;
     }
@@ -385,11 +424,15 @@
         }
         pingLostMember();
         if (periodCount % LIST_SYNC_PERIODS == 0) {
-            randomAlive(1, "").forEach(m -> send(m.update.name(), address(m.update), new GossipMessage.MemberListRequest("", List.of())));
+            randomAlive(1, "").forEach(m ->
+                    send(m.update.name(), address(m.update), new GossipMessage.MemberListRequest("", List.of())));
         }
     }
 
-    /** All in turn, in an order that is drawn anew each time: nobody waits for longer than two rounds. */
+    /**
+     * The next member in a round-robin order that is shuffled for each round, so that nobody waits longer than two
+     * rounds.
+     */
     private String nextProbeTarget() {
         while (true) {
             if (probeOrder.isEmpty()) {
@@ -406,7 +449,7 @@
         }
     }
 
-    /** One of those that should be there and are not. */
+    /** Pings one of the members that are expected but missing or failed. */
     private void pingLostMember() {
         List<String> lost = new ArrayList<>();
         for (String name : knownAddresses.keySet()) {
@@ -418,12 +461,13 @@
         if (!lost.isEmpty()) {
             String name = lost.get(random.nextInt(lost.size()));
             Member m = members.get(name);
-            send(name, m == null ? knownAddresses.get(name) : address(m.update), new GossipMessage.Ping(++lastNumber, List.of()));
+            send(name, m == null ? knownAddresses.get(name) : address(m.update),
+                    new GossipMessage.Ping(++lastNumber, List.of()));
         }
     }
 
-    private String address(MemberUpdate news) {
-        return knownAddresses.getOrDefault(news.name(), news.address());
+    private String address(MemberUpdate update) {
+        return knownAddresses.getOrDefault(update.name(), update.address());
     }
 
     private List<Member> randomAlive(int max, String except) {
@@ -445,7 +489,8 @@
         if (target != null) {
             for (Member m : randomAlive(INDIRECT_PROBES, probe.target)) {
                 probe.silentHelpers++;
-                send(m.update.name(), address(m.update), new GossipMessage.PingRequest(probe.number, probe.target, target.update.address(),
+                send(m.update.name(), address(m.update),
+                        new GossipMessage.PingRequest(probe.number, probe.target, target.update.address(),
                         List.of()));
             }
         }
@@ -455,8 +500,9 @@
         if (probe == null || probe.acked) {
             return;
         }
-        // Helpers that say nothing at all: it may be this node that hears nobody.
-        healthPenalty = Math.min(MAX_HEALTH_PENALTY, healthPenalty + Math.max(probe.silentHelpers, probe.indirectSent ? 0 : 1));
+        // Helpers that send neither ack nor nack suggest that this node itself does not receive messages.
+        healthPenalty = Math.min(MAX_HEALTH_PENALTY, healthPenalty
+                + Math.max(probe.silentHelpers, probe.indirectSent ? 0 : 1));
         Member m = members.get(probe.target);
         if (m != null && m.update.isAliveOrSuspect()) {
             applyUpdate(now, m.update.withState(State.SUSPECT, settings.self()));
@@ -465,18 +511,21 @@
 
     private Instant suspicionDeadline(Member m) {
         double scale = Math.max(1, Math.log10(members.size() + 1.0));
-        double least = settings.probePeriod().toNanos() * SUSPICION_PERIODS * scale;
+        double minTimeout = settings.probePeriod().toNanos() * SUSPICION_PERIODS * scale;
         int others = Math.min(CONFIRMATIONS, members.size() - 1);
-        double share = others <= 0 ? 1
-                : Math.min(1, Math.log(m.suspectedBy.size()) / Math.log(others + 1.0)); // who began counts as one
-        return m.since.plusNanos((long) (least * UNCONFIRMED_FACTOR - least * (UNCONFIRMED_FACTOR - 1) * share));
+        double confirmed = others <= 0 ? 1
+                // the first suspecting member counts as one
+                : Math.min(1, Math.log(m.suspectedBy.size()) / Math.log(others + 1.0));
+        return m.since.plusNanos((long) (minTimeout * UNCONFIRMED_FACTOR
+                - minTimeout * (UNCONFIRMED_FACTOR - 1) * confirmed));
     }
 
     private void expireMembers(Instant now) {
         for (Member m : List.copyOf(members.values())) {
             if (m.update.state() == State.SUSPECT && !now.isBefore(suspicionDeadline(m))) {
                 applyUpdate(now, m.update.withState(State.DEAD, settings.self()));
-            } else if (!m.update.isAliveOrSuspect() && !now.isBefore(m.since.plus(settings.probePeriod().multipliedBy(FORGET_PERIODS)))) {
+            } else if (!m.update.isAliveOrSuspect()
+                    && !now.isBefore(m.since.plus(settings.probePeriod().multipliedBy(FORGET_PERIODS)))) {
                 members.remove(m.update.name());
             }
         }
--- a/src/test/java/rowanplank/agreement/DurabilityBarrierTest.java
+++ b/src/test/java/rowanplank/agreement/DurabilityBarrierTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Messages that wait for writes. */
+/** Messages that wait for disk writes. */
 class DurabilityBarrierTest {
     private final DurabilityBarrier<String> barrier = new DurabilityBarrier<>(3);
 
-    /** Guards what a message rests on: it goes once all writes before it are done, and in its order. */
+    /** A message must not be sent before all writes that it depends on are done, and messages must stay in order. */
     @Test
-    void aMessageWaitsForAllWritesBeforeIt() {
+    void messageWaitsForAllEarlierWrites() {
         long first = barrier.beginWrite();
         barrier.hold("a");
         long second = barrier.beginWrite();
@@ -25,9 +25,9 @@
         assertFalse(barrier.isBusy());
     }
 
-    /** Guards against a disk that tells of its writes in another order: an older number says nothing new. */
+    /** Writes may be reported as done out of order; a report with a lower number must change nothing. */
     @Test
-    void anOlderNumberTakesNothingBack() {
+    void reportOfEarlierWriteChangesNothing() {
         long first = barrier.beginWrite();
         long second = barrier.beginWrite();
         barrier.done(second);
@@ -35,9 +35,9 @@
         assertEquals(second, barrier.done());
     }
 
-    /** Guards memory while a disk hangs. */
+    /** Memory use must stay bounded while the disk hangs. */
     @Test
-    void ofTooManyMessagesTheOldestAreDropped() {
+    void oldestMessagesAreDroppedOverTheLimit() {
         long number = barrier.beginWrite();
         List.of("a", "b", "c", "d").forEach(barrier::hold);
         assertEquals(List.of("b", "c", "d"), barrier.done(number));
--- a/src/test/java/rowanplank/agreement/JointConsensusTest.java
+++ b/src/test/java/rowanplank/agreement/JointConsensusTest.java
@@ -17,47 +17,50 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Changes of the voters as one step, and newcomers that hold everything before they vote. */
+/** Voter changes by joint consensus, and new voters that catch up before they get a vote. */
 class JointConsensusTest {
     private static final Duration ELECTION = Duration.ofMillis(300);
     private static final Duration HEARTBEAT = Duration.ofMillis(75);
-    private static final int PIECE_BYTES = 100;
+    private static final int CHUNK_BYTES = 100;
     private static final List<String> THREE = List.of("a", "b", "c");
 
     private record Sent(String from, String to, Message message) { }
 
-    /** Voters whose disks are quick and whose messages go at once, but for those that are cut off. */
+    /**
+     * A group of voters with fast disks and immediate delivery, except for messages from and to those that are cut
+     * off.
+     */
     private static final class Group {
         final Map<String, RaftNode> all = new TreeMap<>();
-        final Map<String, List<Entry>> decided = new TreeMap<>();
+        final Map<String, List<Entry>> committed = new TreeMap<>();
         final Map<String, byte[]> restored = new TreeMap<>();
         final TreeSet<String> cut = new TreeSet<>();
-        final Deque<Sent> underWay = new ArrayDeque<>();
+        final Deque<Sent> inFlight = new ArrayDeque<>();
         final Map<String, Deque<Runnable>> disks = new TreeMap<>();
-        final List<Message> pieces = new ArrayList<>();
+        final List<Message> chunks = new ArrayList<>();
         Instant now = Instant.EPOCH;
 
         void start(String name, PersistentState saved) {
-            decided.put(name, new ArrayList<>());
+            committed.put(name, new ArrayList<>());
             Deque<Runnable> disk = new ArrayDeque<>();
             disks.put(name, disk);
             RaftNode[] self = new RaftNode[1];
-            self[0] = new RaftNode(new RaftNode.Settings(name, ELECTION, ELECTION, HEARTBEAT, PIECE_BYTES, 100,
+            self[0] = new RaftNode(new RaftNode.Settings(name, ELECTION, ELECTION, HEARTBEAT, CHUNK_BYTES, 100,
                     RaftNode.Transport.CONNECTIONS, name.hashCode()), saved, now, new RaftNode.Actions() {
                         @Override
                         public void send(String to, Message m) {
-                            underWay.add(new Sent(name, to, m));
+                            inFlight.add(new Sent(name, to, m));
                         }
 
                         @Override
                         public void store(long number, Write write) {
                             disk.add(() -> self[0].onStored(now, number));
-                            underWay.add(new Sent(name, "disk", null));
+                            inFlight.add(new Sent(name, "disk", null));
                         }
 
                         @Override
                         public void committed(Entry entry) {
-                            decided.get(name).add(entry);
+                            committed.get(name).add(entry);
                         }
 
                         @Override
@@ -67,56 +70,56 @@
 
                         @Override
                         public void becameLeader(long term) {
-                            // of no interest here
+                            // not used in this test
                         }
 
                         @Override
                         public void lostLeadership() {
-                            // of no interest here
+                            // not used in this test
                         }
 
                         @Override
                         public void roundConfirmed(long round) {
-                            // of no interest here
+                            // not used in this test
                         }
                     });
             all.put(name, self[0]);
         }
 
         void settle(int most) {
-            for (int i = 0; i < most && !underWay.isEmpty(); i++) {
-                Sent sent = underWay.poll();
+            for (int i = 0; i < most && !inFlight.isEmpty(); i++) {
+                Sent sent = inFlight.poll();
                 if (sent.message() == null) {
                     disks.get(sent.from()).poll().run();
                 } else if (!cut.contains(sent.from()) && !cut.contains(sent.to()) && all.containsKey(sent.to())) {
-                    if (sent.message() instanceof Message.SnapshotChunk piece && piece.bytes().length > 0) {
-                        pieces.add(piece);
+                    if (sent.message() instanceof Message.SnapshotChunk chunk && chunk.bytes().length > 0) {
+                        chunks.add(chunk);
                     }
                     all.get(sent.to()).onMessage(now, sent.from(), sent.message());
                 }
             }
         }
 
-        /** Everything arrives, but of what goes to one voter only a message at a time. */
+        /** Delivers all messages, but only one of those to the given voter. */
         void settleWithSlowLinkTo(String name) {
             Deque<Sent> later = new ArrayDeque<>();
             boolean delivered = false;
-            while (!underWay.isEmpty()) {
-                Sent sent = underWay.peek();
+            while (!inFlight.isEmpty()) {
+                Sent sent = inFlight.peek();
                 if (sent.message() != null && sent.to().equals(name) && delivered) {
-                    later.add(underWay.poll());
+                    later.add(inFlight.poll());
                 } else {
                     delivered |= sent.message() != null && sent.to().equals(name);
                     settle(1);
                 }
             }
-            underWay.addAll(later);
+            inFlight.addAll(later);
         }
 
         void pass(long ms) {
             for (long i = 0; i < ms; i += 5) {
                 now = now.plusMillis(5);
-                all.forEach((name, agreement) -> agreement.onTime(now));
+                all.forEach((name, node) -> node.onTime(now));
                 settle(Integer.MAX_VALUE);
             }
         }
@@ -124,7 +127,8 @@
         String describe() {
             StringBuilder text = new StringBuilder("cut " + cut);
             all.forEach((name, a) -> text.append("; ").append(name).append(' ').append(a.role()).append(" term ")
-                    .append(a.term()).append(' ').append(a.voterConfig()).append(" log ").append(a.commitIndex()).append('/')
+                    .append(a.term()).append(' ').append(a.voterConfig()).append(" log ").append(a.commitIndex())
+                    .append('/')
                     .append(a.lastIndex()));
             return text.toString();
         }
@@ -158,7 +162,7 @@
     }
 
     @Test
-    void aNewcomerGetsNoVoteBeforeItHoldsAll() {
+    void newVoterMustCatchUpFirst() {
         Group g = settled();
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
@@ -170,12 +174,12 @@
         g.cut.clear();
         g.leader().onReconnected(g.now, "d");
         g.pass(200);
-        assertThat(g.decided.get("d").size(), is(g.decided.get(g.leaderName()).size()));
+        assertThat(g.committed.get("d").size(), is(g.committed.get(g.leaderName()).size()));
         assertThat(g.leader().proposeJointChange(swapped(g.follower())), is(greaterThan(0L)));
     }
 
     @Test
-    void oneVoterTakesThePlaceOfAnotherInOneStep() {
+    void voterIsReplacedInOneStep() {
         Group g = settled();
         String out = g.follower();
         g.leader().setLearners(g.now, List.of("d"));
@@ -188,27 +192,32 @@
         assertThat(g.all.get("d").voters(), is(swapped(out)));
     }
 
-    /** Guards against two groups that decide apart: while a change is under way, a majority of each is needed. */
+    /** While a change is under way, neither the old nor the new voters may commit on their own. */
     @Test
-    void neitherGroupDecidesAloneInAChange() {
+    void jointConfigurationNeedsBothMajorities() {
         Group g = settled();
         String out = g.follower();
-        String stays = THREE.stream().filter(n -> !n.equals(out) && !n.equals(g.leaderName())).findFirst().orElseThrow();
+        String stays = THREE.stream().filter(n -> !n.equals(out) && !n.equals(g.leaderName())).findFirst()
+                .orElseThrow();
         g.leader().setLearners(g.now, List.of("d"));
         g.pass(200);
-        g.cut.addAll(List.of(out, stays)); // the leader and the newcomer: two of the new three, one of the old
+        // Leaves the leader and the new voter: two of the three new voters, one of the three old ones.
+        g.cut.addAll(List.of(out, stays));
         g.leader().proposeJointChange(swapped(out));
         long before = g.leader().commitIndex();
         RaftNode leader = g.leader();
         g.pass(200);
         assertThat(leader.commitIndex(), is(before));
         g.pass(1_000);
-        assertThat("it hears no majority of the old group", leader.isEstablished(), is(false));
+        assertThat("it hears no majority of the old voters", leader.isEstablished(), is(false));
     }
 
-    /** Guards a change whose leader is lost at any moment: whoever leads next ends it or never knew of it. */
+    /**
+     * If the leader is lost at any point of a change, the next leader must complete the change or never have known of
+     * it.
+     */
     @Test
-    void aLeaderThatIsLostAtAnyMomentOfAChangeLeavesAGroupThatGoesOn() {
+    void groupSurvivesLossOfTheLeaderAtAnyPointOfAChange() {
         for (int delivered = 0; delivered < 40; delivered++) {
             Group g = settled();
             String out = g.follower();
@@ -218,7 +227,7 @@
             g.leader().proposeJointChange(swapped(out));
             g.settle(delivered);
             g.cut.add(first);
-            g.underWay.clear();
+            g.inFlight.clear();
             g.disks.forEach((name, disk) -> {
                 while (!disk.isEmpty()) {
                     disk.poll().run();
@@ -235,7 +244,7 @@
     }
 
     @Test
-    void aLeaderThatIsChangedOutStepsDownOnceThatIsDecided() {
+    void removedLeaderStepsDownOnceTheChangeIsCommitted() {
         Group g = settled();
         String out = g.leaderName();
         g.leader().setLearners(g.now, List.of("d"));
@@ -246,36 +255,39 @@
         assertThat(g.leader().voters(), is(swapped(out)));
     }
 
-    /** Guards members that are far behind: hundreds of changes and snapshots, and what is on its way still ends. */
+    /**
+     * A transfer of a snapshot must complete even though newer snapshots are taken all the time, or a voter that is
+     * far behind never catches up.
+     */
     @Test
-    void aSnapshotOnItsWayIsSentToItsEndThoughThereAreNewerOnes() {
+    void startedSnapshotTransferCompletesDespiteNewerSnapshots() {
         Group g = settled();
         for (int i = 0; i < 300; i++) {
             g.leader().propose(g.now, new byte[10]);
             g.pass(5);
         }
-        g.leader().compact(new byte[50 * PIECE_BYTES]);
+        g.leader().compact(new byte[50 * CHUNK_BYTES]);
         for (int i = 0; i < 300; i++) {
             g.leader().propose(g.now, new byte[10]);
             g.pass(5);
         }
-        g.leader().compact(new byte[50 * PIECE_BYTES]);
+        g.leader().compact(new byte[50 * CHUNK_BYTES]);
         g.leader().setLearners(g.now, List.of("d"));
         for (int i = 0; i < 400 && g.restored.get("d") == null; i++) {
             g.now = g.now.plusMillis(5);
             g.leader().onTime(g.now);
             g.settleWithSlowLinkTo("d");
             g.leader().propose(g.now, new byte[10]);
-            g.leader().compact(new byte[50 * PIECE_BYTES]);
+            g.leader().compact(new byte[50 * CHUNK_BYTES]);
         }
         assertThat(g.restored.containsKey("d"), is(true));
         g.pass(500);
         assertThat(g.all.get("d").lastIndex(), is(g.leader().lastIndex()));
     }
 
-    /** Guards against whole snapshots for who is only a moment late. */
+    /** A voter that lags only a little must not be sent a snapshot. */
     @Test
-    void whoIsAMomentLateNeedsNoSnapshot() {
+    void slightlyLaggingVoterNeedsNoSnapshot() {
         Group g = settled();
         String late = g.follower();
         g.cut.add(late);
@@ -283,15 +295,15 @@
             g.leader().propose(g.now, new byte[10]);
             g.pass(5);
         }
-        g.leader().compact(new byte[50 * PIECE_BYTES]);
+        g.leader().compact(new byte[50 * CHUNK_BYTES]);
         g.cut.clear();
         g.pass(300);
         assertThat(g.all.get(late).lastIndex(), is(g.leader().lastIndex()));
-        assertThat(g.pieces.size(), is(0));
+        assertThat(g.chunks.size(), is(0));
     }
 
     @Test
-    void aSnapshotThatNobodyWouldTakeIsRefusedWhereItIsMade() {
+    void tooLargeSnapshotIsRejectedAtItsSource() {
         Group g = settled();
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
--- a/src/test/java/rowanplank/agreement/RaftNodeTest.java
+++ b/src/test/java/rowanplank/agreement/RaftNodeTest.java
@@ -18,36 +18,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The agreement by itself, message by message; whole fleets under faults are played by VirtualTrialTest. */
+/** Raft nodes exchanging messages one by one. VirtualTrialTest runs whole fleets under faults. */
 class RaftNodeTest {
     private static final Instant ZERO = Instant.parse("2026-01-01T00:00:00Z");
     private static final Duration ELECTION = Duration.ofMillis(300);
 
     private record Sent(String from, String to, Message message) { }
 
-    /** Voters whose disks are quick and whose messages go at once, but for those that are cut off. */
+    /**
+     * A group of voters with fast disks and immediate delivery, except for messages from and to those that are cut
+     * off.
+     */
     private static final class Group {
         final Map<String, RaftNode> voters = new TreeMap<>();
-        final Map<String, List<Entry>> decided = new TreeMap<>();
+        final Map<String, List<Entry>> committed = new TreeMap<>();
         final Map<String, byte[]> restored = new TreeMap<>();
-        final List<String> told = new ArrayList<>();
+        final List<String> events = new ArrayList<>();
         final TreeSet<String> cut = new TreeSet<>();
-        final Deque<Sent> under = new ArrayDeque<>();
+        final Deque<Sent> inFlight = new ArrayDeque<>();
         final boolean countOlder;
-        final int mostBytes;
-        /** With the voters' names. */
-        int longestPiece;
+        final int maxMessageBytes;
+        /** The largest snapshot chunk, including the voters' names. */
+        int largestChunk;
         final Duration firstElection;
         Instant now = ZERO;
 
-        Group(int count, boolean countOlder, int mostBytes) {
-            this(count, countOlder, mostBytes, ELECTION);
+        Group(int count, boolean countOlder, int maxMessageBytes) {
+            this(count, countOlder, maxMessageBytes, ELECTION);
         }
 
-        Group(int count, boolean countOlder, int mostBytes, Duration firstElection) {
+        Group(int count, boolean countOlder, int maxMessageBytes, Duration firstElection) {
             this.firstElection = firstElection;
             this.countOlder = countOlder;
-            this.mostBytes = mostBytes;
+            this.maxMessageBytes = maxMessageBytes;
             List<String> names = new ArrayList<>();
             for (int i = 1; i <= count; i++) {
                 names.add("v" + i);
@@ -56,25 +59,25 @@
         }
 
         void start(String name, PersistentState saved) {
-            decided.put(name, new ArrayList<>());
+            committed.put(name, new ArrayList<>());
             Deque<Runnable> stored = new ArrayDeque<>();
             RaftNode[] self = new RaftNode[1];
             RaftNode.Actions actions = new RaftNode.Actions() {
                 @Override
                 public void send(String to, Message m) {
-                    under.add(new Sent(name, to, m));
+                    inFlight.add(new Sent(name, to, m));
                 }
 
                 @Override
                 public void store(long number, Write write) {
                     stored.add(() -> self[0].onStored(now, number));
-                    under.add(new Sent(name, "disk", null));
+                    inFlight.add(new Sent(name, "disk", null));
                     disks.put(name, stored);
                 }
 
                 @Override
                 public void committed(Entry entry) {
-                    decided.get(name).add(entry);
+                    committed.get(name).add(entry);
                 }
 
                 @Override
@@ -84,21 +87,21 @@
 
                 @Override
                 public void becameLeader(long term) {
-                    told.add(name + " leads " + term);
+                    events.add(name + " leads " + term);
                 }
 
                 @Override
                 public void lostLeadership() {
-                    told.add(name + " leads no more");
+                    events.add(name + " leads no more");
                 }
 
                 @Override
                 public void roundConfirmed(long round) {
-                    told.add(name + " confirmed " + round);
+                    events.add(name + " confirmed " + round);
                 }
             };
             self[0] = new RaftNode(new RaftNode.Settings(name, ELECTION, firstElection, Duration.ofMillis(75),
-                    mostBytes, 100, name.hashCode()), saved, now, actions) {
+                    maxMessageBytes, 100, name.hashCode()), saved, now, actions) {
                 @Override
                 protected boolean mayCommitByCounting(long index) {
                     return countOlder || super.mayCommitByCounting(index);
@@ -109,14 +112,14 @@
 
         final Map<String, Deque<Runnable>> disks = new TreeMap<>();
 
-        /** All that is under way arrives, and what follows from it. */
+        /** Delivers all messages in flight, and those that they cause. */
         void settle() {
             settle(m -> true);
         }
 
-        /** As {@link #settle}, but messages that do not pass are lost. */
+        /** Like {@link #settle()}, but messages that do not match are lost. */
         void settle(Predicate<Message> passes) {
-            for (Sent s; (s = under.poll()) != null;) {
+            for (Sent s; (s = inFlight.poll()) != null;) {
                 if (s.message() == null || passes.test(s.message())) {
                     deliver(s);
                 }
@@ -125,7 +128,7 @@
 
         private void deliver(Sent s) {
             if (s.message() instanceof Message.SnapshotChunk p) {
-                longestPiece = Math.max(longestPiece, p.bytes().length + String.join(" ", p.voters()).length());
+                largestChunk = Math.max(largestChunk, p.bytes().length + String.join(" ", p.voters()).length());
             }
             if (s.message() == null) {
                 disks.get(s.from()).poll().run();
@@ -152,7 +155,8 @@
         }
 
         List<Integer> payloads(String voter) {
-            return decided.get(voter).stream().filter(e -> e.payload().length > 0).map(e -> (int) e.payload()[0]).toList();
+            return committed.get(voter).stream().filter(e -> e.payload().length > 0).map(e -> (int) e.payload()[0])
+                    .toList();
         }
 
         String other(String... than) {
@@ -168,7 +172,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 5, 7})
-    void whatIsProposedIsDecidedAtAll(int count) {
+    void proposalsAreCommittedOnAllVoters(int count) {
         Group g = settled(count);
         for (byte i = 1; i <= 20; i++) {
             assertTrue(g.leader().propose(g.now, new byte[] {i}) > 0);
@@ -179,34 +183,36 @@
         }
     }
 
-    /** Guards leases: a leader that was replaced and does not know it must not have a round confirmed. */
+    /** A leader that was replaced without noticing must not get a round confirmed, or two nodes could hold a lease. */
     @Test
-    void aLeaderThatWasReplacedConfirmsNothingAndStepsDown() {
+    void replacedLeaderConfirmsNoRoundAndStepsDown() {
         Group g = settled(3);
         String old = g.leaderName();
         RaftNode replaced = g.leader();
         g.cut.add(old);
-        g.told.clear();
+        g.events.clear();
         long round = replaced.confirmLeadership(g.now.plusMillis(10));
         assertTrue(round > 0);
         g.pass(1500);
-        assertTrue(g.told.stream().noneMatch(t -> t.startsWith(old + " confirmed")), g.told::toString);
-        assertTrue(g.told.contains(old + " leads no more"));
+        assertTrue(g.events.stream().noneMatch(t -> t.startsWith(old + " confirmed")), g.events::toString);
+        assertTrue(g.events.contains(old + " leads no more"));
         assertFalse(g.leaderName().equals(old));
     }
 
-    /** Guards a fleet that lost its power: it serves nothing until there is a leader. */
+    /**
+     * After a power loss the fleet serves nothing until a leader is elected, so the first election must come sooner.
+     */
     @Test
-    void votersThatStartTogetherElectSoonerThanLaterOnes() {
+    void firstElectionUsesTheShorterTimeout() {
         Duration first = ELECTION.dividedBy(4);
         Group g = new Group(3, false, 1000, first);
         g.pass(first.toMillis() * 2 + 50);
-        assertTrue(g.told.stream().anyMatch(t -> t.contains("leads")), g.told::toString);
+        assertTrue(g.events.stream().anyMatch(t -> t.contains("leads")), g.events::toString);
         String leader = g.leaderName();
         long term = g.leader().term();
         g.start(g.other(leader), PersistentState.initial(g.leader().voters()));
         g.pass(5000);
-        assertEquals(leader, g.leaderName(), "one that starts alone unseats nobody");
+        assertEquals(leader, g.leaderName(), "a single voter that starts does not depose the leader");
         assertEquals(term, g.leader().term());
     }
 
@@ -216,32 +222,36 @@
         return all;
     }
 
-    /** Guards a fleet that lost its power: voters that reach each other elect one of them at once, and in one go. */
+    /** After a power loss, voters that reach each other must elect a leader at once and without a split vote. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 5, 7})
-    void votersThatReachEachOtherElectAtOnce(int count) {
+    void votersThatReachEachOtherElectALeaderAtOnce(int count) {
         Group g = new Group(count, false, 1000);
         reachAll(g);
         g.pass(50);
-        assertEquals(1, g.told.stream().filter(t -> t.contains("leads")).count(), g.told::toString);
-        assertEquals(1, g.leader().term(), "no vote was shared out");
+        assertEquals(1, g.events.stream().filter(t -> t.contains("leads")).count(), g.events::toString);
+        assertEquals(1, g.leader().term(), "there was no split vote");
     }
 
-    /** Guards elections among voters that know less: whoever gives way does so for a while only. */
+    /**
+     * A voter that yields to another candidate must do so for a limited time only, as that candidate may not be able
+     * to win.
+     */
     @Test
-    void theFirstByNameDoesNotKeepOthersFromBeingElected() {
+    void yieldingToAnUnelectableCandidateIsLimited() {
         Group g = new Group(3, false, 1000);
         g.cut.add("v1");
         List<String> all = List.copyOf(g.voters.keySet());
         g.voters.get("v2").setReachable(g.now, all);
         g.voters.get("v3").setReachable(g.now, all);
         g.pass(1000);
-        assertTrue(g.told.stream().anyMatch(t -> t.startsWith("v2 leads") || t.startsWith("v3 leads")), g.told::toString);
+        assertTrue(g.events.stream().anyMatch(t -> t.startsWith("v2 leads") || t.startsWith("v3 leads")),
+                g.events::toString);
     }
 
-    /** Guards a leader: that a voter reaches others says nothing once somebody has led. */
+    /** Reachability reports must not trigger elections once there has been a leader. */
     @Test
-    void whoHasHeardALeaderAsksNoSooner() {
+    void reachabilityStartsNoElectionOnceALeaderWasHeard() {
         Group g = settled(3);
         String leader = g.leaderName();
         long term = g.leader().term();
@@ -253,9 +263,9 @@
         assertEquals(term, g.leader().term());
     }
 
-    /** Guards what was decided: a voter whose log lacks something leaves the election to one that has it. */
+    /** A voter whose log lacks a committed entry must leave the election to one that has it. */
     @Test
-    void whoHasLessGivesWay() {
+    void voterWithTheShorterLogYields() {
         Group g = settled(3);
         String leader = g.leaderName();
         String behind = g.other(leader);
@@ -264,25 +274,25 @@
         g.pass(100);
         g.cut.remove(behind);
         List<String> names = List.copyOf(g.voters.keySet());
-        Entry seven = g.decided.get(leader).get(g.decided.get(leader).size() - 1);
+        Entry seven = g.committed.get(leader).get(g.committed.get(leader).size() - 1);
         for (String name : names) {
-            List<Entry> log = new ArrayList<>(g.decided.get(name));
+            List<Entry> log = new ArrayList<>(g.committed.get(name));
             if (!name.equals(behind) && !log.contains(seven)) {
                 log.add(seven);
             }
             g.start(name, new PersistentState(1, null, PersistentState.initial(names).snapshot(), log));
         }
-        g.under.clear();
-        g.told.clear();
+        g.inFlight.clear();
+        g.events.clear();
         reachAll(g);
         g.pass(600);
-        assertTrue(g.told.stream().anyMatch(t -> t.contains(" leads ")), g.told::toString);
-        assertFalse(g.told.stream().anyMatch(t -> t.startsWith(behind + " leads ")), g.told::toString);
+        assertTrue(g.events.stream().anyMatch(t -> t.contains(" leads ")), g.events::toString);
+        assertFalse(g.events.stream().anyMatch(t -> t.startsWith(behind + " leads ")), g.events::toString);
     }
 
-    /** Guards the others: one that was away for long must not unseat a leader that they hear (pre-vote). */
+    /** A voter that was partitioned away must not depose the leader when it returns (pre-vote). */
     @Test
-    void whoComesBackDisturbsNobody() {
+    void returningVoterDoesNotDeposeTheLeader() {
         Group g = settled(5);
         String leader = g.leaderName();
         long term = g.leader().term();
@@ -297,7 +307,7 @@
     }
 
     @Test
-    void whoWasAwayIsCaughtUpByASnapshotInPieces() {
+    void laggingVoterCatchesUpByASnapshotInChunks() {
         Group g = new Group(3, false, 50);
         g.pass(1500);
         String away = g.other(g.leaderName());
@@ -313,13 +323,15 @@
         g.cut.remove(away);
         g.pass(2000);
         assertEquals(7, g.restored.get(away)[4999]);
-        assertTrue(g.longestPiece <= 50, g.longestPiece + " bytes, and a message holds 50 of content");
+        assertTrue(g.largestChunk <= 50, g.largestChunk + " bytes in a message that holds 50");
         assertEquals(List.of(99), g.payloads(away));
     }
 
-    /** Guards memory while nobody decides: what is beyond the bound is not taken, and nothing that was taken is lost. */
+    /**
+     * While nothing can be committed, proposals beyond the limit must be rejected, and accepted ones must not be lost.
+     */
     @Test
-    void aLogIsNotLongerThanItsBound() {
+    void uncommittedEntriesAreLimited() {
         Group g = settled(3);
         RaftNode leader = g.leader();
         List<String> others = g.voters.keySet().stream().filter(v -> !v.equals(g.leaderName())).toList();
@@ -329,15 +341,15 @@
             g.settle(m -> false);
         }
         assertEquals(100, taken);
-        assertEquals(101, leader.logSize(), "with the opening entry");
+        assertEquals(101, leader.logSize(), "with the no-op entry");
         g.pass(300);
         others.forEach(v -> assertEquals(100, g.payloads(v).size(), v));
         assertTrue(g.leader().propose(g.now, new byte[] {1}) > 0);
     }
 
-    /** Guards the network and a slow voter: whoever does not answer is sent eight messages with entries, not one for each. */
+    /** A voter that does not answer must get at most eight messages with entries, not one per entry. */
     @Test
-    void whoDoesNotAnswerIsNotFlooded() {
+    void appendsToASilentVoterAreLimited() {
         Group g = settled(3);
         List<Message> sent = new ArrayList<>();
         for (byte i = 1; i <= 50; i++) {
@@ -351,7 +363,7 @@
     }
 
     @Test
-    void leadershipIsHandedOnWithoutAnElectionsWait() {
+    void leadershipIsTransferredWithoutElectionTimeout() {
         Group g = settled(3);
         String old = g.leaderName();
         assertTrue(g.leader().transferLeadership(g.now));
@@ -366,25 +378,26 @@
         g.start("v4", new PersistentState(0, null, Snapshot.initial(List.of("v1", "v2", "v3")), List.of()));
         assertEquals(0, g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v4")), "two names differ");
         assertTrue(g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v3", "v4")) > 0);
-        assertEquals(0, g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v3")), "one is not decided yet");
+        assertEquals(0, g.leader().proposeVoterChange(g.now, List.of("v1", "v2", "v3")),
+                "the first change is not committed yet");
         g.pass(300);
-        assertEquals(g.decided.get("v1").size(), g.decided.get("v4").size());
+        assertEquals(g.committed.get("v1").size(), g.committed.get("v4").size());
         String leader = g.leaderName();
         List<String> left = new ArrayList<>(g.leader().voters());
         left.remove(leader);
         assertTrue(g.leader().proposeVoterChange(g.now, left) > 0);
         g.pass(2000);
-        assertFalse(g.leaderName().equals(leader), "a leader that votes no more steps down");
+        assertFalse(g.leaderName().equals(leader), "a leader that is no longer a voter steps down");
     }
 
     /**
-     * Figure 8 of the paper: an entry of an earlier term stands at a majority, and a voter that never had it wins the
-     * next election. Counted as decided, it would be taken back.
+     * Figure 8 of the Raft paper: an entry of an earlier term is on a majority, and a voter without it wins the next
+     * election. If the entry counted as committed, it would be lost.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void entriesOfEarlierTermsAreNotDecidedByCounting(boolean countOlder) {
-        Group g = new Group(3, countOlder, 1); // one entry a message
+    void entriesOfEarlierTermsAreNotCommittedByCounting(boolean countOlder) {
+        Group g = new Group(3, countOlder, 1); // one entry per message
         List<String> names = List.of("v1", "v2", "v3");
         Entry old = Entry.command(1, 2, new byte[] {1});
         g.start("v1", new PersistentState(3, null, Snapshot.initial(names), List.of(old)));
@@ -392,20 +405,23 @@
         g.start("v2", new PersistentState(3, null, Snapshot.initial(names), List.of()));
         RaftNode v1 = g.voters.get("v1");
         g.cut.add("v3");
-        // v1 wins term 4 with the vote of v2, and brings it the old entry, but not its own opening one.
+        // v1 wins term 4 with the vote of v2 and sends it the old entry, but not its own no-op entry.
         while (v1.role() != RaftNode.Role.LEADER) {
             g.now = g.now.plusMillis(5);
             v1.onTime(g.now);
             g.settle(m -> !(m instanceof Message.AppendRequest) || g.voters.get("v2").lastIndex() == 0);
         }
         assertEquals(1, g.voters.get("v2").lastIndex());
-        boolean counted = g.decided.get("v1").contains(old);
-        assertEquals(countOlder, counted, "decided by counting");
+        boolean counted = g.committed.get("v1").contains(old);
+        assertEquals(countOlder, counted, "committed by counting");
     }
 
-    /** Guards what is decided: a voter whose state was put back is named, and counts neither for entries nor for rounds. */
+    /**
+     * A voter whose state was replaced by an older copy must be reported, and count neither for commits nor for
+     * rounds.
+     */
     @Test
-    void anOlderCopyIsNamedAndNotCounted() {
+    void voterWithAnOlderCopyIsReportedAndNotCounted() {
         Group g = settled(3);
         g.leader().propose(g.now, new byte[] {1});
         g.pass(200);
@@ -416,20 +432,23 @@
         g.pass(200);
         assertEquals(List.of(older), leads.regressedVoters());
         g.cut.add(g.other(leader, older));
-        long before = g.decided.get(leader).size();
+        long before = g.committed.get(leader).size();
         leads.propose(g.now, new byte[] {2});
-        g.told.clear();
+        g.events.clear();
         long round = leads.confirmLeadership(g.now.plusMillis(10));
         g.pass(290);
-        assertEquals(before, g.decided.get(leader).size());
-        assertFalse(g.told.contains(leader + " confirmed " + round), g.told::toString);
-        assertTrue(g.told.contains(leader + " leads no more"), g.told::toString);
+        assertEquals(before, g.committed.get(leader).size());
+        assertFalse(g.events.contains(leader + " confirmed " + round), g.events::toString);
+        assertTrue(g.events.contains(leader + " leads no more"), g.events::toString);
     }
 
-    /** Guards staff from a false word: an end of the log that differs is no older copy, whatever is lost on the way. */
+    /**
+     * A voter whose log merely ends differently must not be reported as having an older copy, even if messages are
+     * lost.
+     */
     @Test
-    void anEndThatDiffersIsNoOlderCopy() {
-        Group g = new Group(3, false, 1); // one entry a message
+    void differingLogEndIsNotReportedAsOlderCopy() {
+        Group g = new Group(3, false, 1); // one entry per message
         Snapshot beginning = Snapshot.initial(List.of("v1", "v2", "v3"));
         List<Entry> both = List.of(Entry.command(1, 1, new byte[1]), Entry.command(2, 1, new byte[1]));
         List<Entry> longer = new ArrayList<>(both);
@@ -446,7 +465,8 @@
         for (int i = 0; i < 400; i++) { // the first message with the entry at which the logs differ is lost
             g.now = g.now.plusMillis(5);
             v1.onTime(g.now);
-            g.settle(m -> !(m instanceof Message.AppendRequest a && !a.entries().isEmpty() && a.entries().get(0).index() == 3
+            g.settle(m -> !(m instanceof Message.AppendRequest a && !a.entries().isEmpty()
+                    && a.entries().get(0).index() == 3
                     && toLose[0]-- > 0));
             assertEquals(List.of(), v1.regressedVoters(), "after " + 5 * i + " ms");
         }
--- a/src/test/java/rowanplank/fleet/SerialExecutorTest.java
+++ b/src/test/java/rowanplank/fleet/SerialExecutorTest.java
@@ -6,17 +6,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The order of events, and events that fail. */
 class SerialExecutorTest {
-    /** Guards a node whose program's file was replaced under it: what fails once must not keep all that comes later waiting. */
+    /**
+     * An event that fails, for example because the jar was replaced and a class cannot be loaded, must not block later
+     * events.
+     */
     @Test
-    void whatFailsIsToldAndKeepsNothingWaiting() {
-        List<String> told = new ArrayList<>();
-        SerialExecutor turns = new SerialExecutor(() -> told.add("all done"), e -> told.add("failed: " + e.getMessage()));
-        turns.run(() -> {
-            turns.runLater(() -> told.add("dropped"));
+    void failureIsReportedAndBlocksNoLaterEvent() {
+        List<String> events = new ArrayList<>();
+        SerialExecutor executor = new SerialExecutor(() -> events.add("all done"),
+                e -> events.add("failed: " + e.getMessage()));
+        executor.run(() -> {
+            executor.runLater(() -> events.add("dropped"));
             throw new NoClassDefFoundError("Peer");
         });
-        turns.run(() -> told.add("later"));
-        assertEquals(List.of("failed: Peer", "all done", "later", "all done"), told);
+        executor.run(() -> events.add("later"));
+        assertEquals(List.of("failed: Peer", "all done", "later", "all done"), events);
     }
 }
--- a/src/test/java/rowanplank/fleet/SlotLimiterTest.java
+++ b/src/test/java/rowanplank/fleet/SlotLimiterTest.java
@@ -22,17 +22,20 @@
 import rowanplank.ledger.Share;
 import rowanplank.net.StandingLoop;
 
-/** Places at page servers as discovery lists them: ten servers, four places each. */
+/** Slots at back-end servers: ten servers with four slots each. */
 class SlotLimiterTest {
     private static final Instant NOW = Instant.EPOCH;
-    private static final BalancerApi.Settings SITE = new BalancerApi.Settings(1, 0, 0, List.of(new BalancerApi.RequestClass(400,
+    private static final BalancerApi.Settings SITE =
+            new BalancerApi.Settings(1, 0, 0, List.of(new BalancerApi.RequestClass(400,
             1200, 1, 0.2, BalancerApi.Effect.REPEATABLE, BalancerApi.DedupGroup.ALL, 0, false)), List.of(), 0.1,
-            new BalancerApi.Limits(3, true, true, 1000), new BalancerApi.Rules(10_000, 0.14, 24_000, 3), true, false, false, 0);
+            new BalancerApi.Limits(3, true, true, 1000), new BalancerApi.Rules(10_000, 0.14, 24_000, 3), true, false,
+            false, 0);
     private static final Duration LONGEST = Duration.ofSeconds(2);
     private final FleetConfig.Sharing sharing = new FleetConfig.Sharing(Duration.ofSeconds(4), List.of(), List.of(),
             new FleetConfig.Places(4, 0, 3, Duration.ZERO, LONGEST));
     private final List<Ask> asked = new ArrayList<>();
-    private final BudgetHolder holder = new BudgetHolder(new BudgetHolder.Settings("n1", 1, List.of("n1"), Duration.ofMillis(150),
+    private final BudgetHolder holder =
+            new BudgetHolder(new BudgetHolder.Settings("n1", 1, List.of("n1"), Duration.ofMillis(150),
             Duration.ofSeconds(4), LONGEST, 0.01), NOW, new BudgetHolder.Actions() {
                 @Override
                 public void ask(String voter, Ask ask) {
@@ -42,11 +45,12 @@
                 @Override
                 public void more(String budget) { }
             });
-    private final SlotLimiter keeper = new SlotLimiter(sharing.places(), "n1", new StandingLoop(), holder, this::share,
+    private final SlotLimiter limiter =
+            new SlotLimiter(sharing.places(), "n1", new StandingLoop(), holder, this::applyBudgets,
             () -> holder.onTime(NOW));
 
-    private void share() {
-        holder.budgets(NOW, keeper.budgets(sharing), LONGEST);
+    private void applyBudgets() {
+        holder.budgets(NOW, limiter.budgets(sharing), LONGEST);
     }
 
     private static List<Server> servers(LongStream ids) {
@@ -61,32 +65,40 @@
         return "place/" + Long.toUnsignedString(id, Character.MAX_RADIX);
     }
 
-    /** Guards a list of which six in ten are replaced while tries are out: what is out stays counted, the rest moves on. */
+    /**
+     * If six of ten servers are replaced while attempts are open, open attempts must stay counted, and the other slots
+     * must be released and requested anew.
+     */
     @Test
-    void sixInTenServersAreReplaced() {
-        keeper.updateServers(servers(LongStream.rangeClosed(1, 10)), true, SITE);
+    void replacingServersKeepsOpenAttemptsCounted() {
+        limiter.updateServers(servers(LongStream.rangeClosed(1, 10)), true, SITE);
         answer(Result.of(Result.Kind.OPENED, 5), List.of());
         answer(Result.of(Result.Kind.JOINED, 9), List.of());
         answer(Result.of(Result.Kind.PARTS, 10), LongStream.rangeClosed(1, 10)
                 .mapToObj(id -> new Ask.Told(name(id), 9, new Share(2, 0), new Share(2, 0), id)).toList());
-        assertTrue(keeper.tryAcquire(1, 1) && keeper.tryAcquire(7, 1) && keeper.tryAcquire(7, 1));
-        assertFalse(keeper.tryAcquire(7, 1), "two of two are out");
+        assertTrue(limiter.tryAcquire(1, 1) && limiter.tryAcquire(7, 1) && limiter.tryAcquire(7, 1));
+        assertFalse(limiter.tryAcquire(7, 1), "two of two slots are in use");
 
-        keeper.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
-        Set<String> used = new TreeSet<>(keeper.budgets(sharing).keySet());
-        assertEquals(11, used.size(), "four, six new ones, and one at which tries are out");
-        assertEquals(2.0, keeper.limit(1), "a server that stays keeps its places");
-        assertEquals(0.0, keeper.limit(7), "one that is gone is not used");
-        assertEquals(0.0, keeper.limit(21), "of a new one nothing was told yet");
-        assertTrue(asked.stream().noneMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7))), "it is used");
-        assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(8)) && g.most().equals(Share.NONE)));
+        limiter.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true,
+                SITE);
+        Set<String> used = new TreeSet<>(limiter.budgets(sharing).keySet());
+        assertEquals(11, used.size(), "four, six new ones, and one with open attempts");
+        assertEquals(2.0, limiter.limit(1), "a remaining server keeps its slots");
+        assertEquals(0.0, limiter.limit(7), "a removed server is not used");
+        assertEquals(0.0, limiter.limit(21), "there is no share of a new one yet");
+        assertTrue(asked.stream().noneMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7))),
+                "it is in use");
+        assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(8))
+                && g.most().equals(Share.NONE)));
 
-        keeper.release(7, true);
-        keeper.release(7, true);
-        keeper.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true, SITE);
-        assertFalse(keeper.budgets(sharing).containsKey(name(7)));
-        assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7)) && g.most().equals(Share.NONE)));
-        keeper.updateServers(servers(LongStream.of(7)), false, SITE);
-        assertEquals(0.0, keeper.limit(7), "back under its id, it has what the ledger says from now on");
+        limiter.release(7, true);
+        limiter.release(7, true);
+        limiter.updateServers(servers(LongStream.concat(LongStream.rangeClosed(1, 4), LongStream.rangeClosed(21, 26))), true,
+                SITE);
+        assertFalse(limiter.budgets(sharing).containsKey(name(7)));
+        assertTrue(asked.stream().anyMatch(a -> a.what() instanceof Ask.Give g && g.budget().equals(name(7))
+                && g.most().equals(Share.NONE)));
+        limiter.updateServers(servers(LongStream.of(7)), false, SITE);
+        assertEquals(0.0, limiter.limit(7), "a returning server gets its slots from the ledger");
     }
 }
--- a/src/test/java/rowanplank/fleet/TaskRunnerTest.java
+++ b/src/test/java/rowanplank/fleet/TaskRunnerTest.java
@@ -19,7 +19,7 @@
 import rowanplank.net.PassingLoop;
 import rowanplank.net.Programs;
 
-/** What becomes of a task that overruns, that fails, and that must not run twice, while its lease is held under fence 7. */
+/** Tasks that exceed their time limit, fail, or must not run twice, while their lease is held under fence 7. */
 class TaskRunnerTest implements LeaseHolder.Actions {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
@@ -65,8 +65,10 @@
     }
 
     private void granted(Duration every, boolean once) {
-        FleetConfig.Task task = new FleetConfig.Task("stamp", "nightly", List.of("stamp"), every, once, SECOND, Duration.ZERO);
-        FleetConfig config = new FleetConfig("press", "n1", null, null, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), "",
+        FleetConfig.Task task = new FleetConfig.Task("stamp", "nightly", List.of("stamp"), every, once, SECOND,
+                Duration.ZERO);
+        FleetConfig config = new FleetConfig("press", "n1", null, null, new TreeMap<>(), new TreeMap<>(),
+                new TreeMap<>(), "",
                 new FleetConfig.Timing(SECOND, SECOND, 0.01, SECOND, SECOND, 1024), List.of(), List.of(task), null);
         LeaseHolder holder = new LeaseHolder(new LeaseHolder.Settings("n1", 1, List.of("n1"), SECOND, SECOND, SECOND),
                 Instant.EPOCH, this) {
@@ -86,12 +88,13 @@
             }
         };
         tasks = new TaskRunner(config, loop, (command, given, told) -> start(given, told),
-                new RateLimitedLog(loop.clock(), RateLimitedLog.Sink.system()), new FleetComponents(), holder, () -> { });
+                new RateLimitedLog(loop.clock(), RateLimitedLog.Sink.system()), new FleetComponents(), holder,
+                () -> { });
         tasks.leaseGranted(loop.clock().now(), "nightly");
         pass(0);
     }
 
-    /** As the loop would, each 50 ms. */
+    /** Lets time pass, calling the runner every 50 ms. */
     private void pass(int ms) {
         for (int i = 0; i <= ms; i += 50) {
             tasks.onTime(loop.clock().now());
@@ -99,9 +102,12 @@
         }
     }
 
-    /** Guards the lease's end: who takes too long is asked to end, then ended, before it, and is not begun beside itself. */
+    /**
+     * A run that exceeds its time limit must be asked to stop and then killed before its lease ends, and no second run
+     * may start beside it.
+     */
     @Test
-    void whatTakesTooLongIsAskedToEndThenEnded() {
+    void runOverItsTimeLimitIsStoppedThenKilled() {
         loop.pass(Duration.ofSeconds(5));
         granted(Duration.ofMillis(500), false);
         pass(3000);
@@ -112,18 +118,18 @@
         assertEquals(0, tasks.ended());
     }
 
-    /** Guards what a command can go by. */
+    /** A command must get its lease, fence and end in its environment. */
     @Test
-    void aCommandIsToldItsFenceAndItsEnd() {
+    void environmentHasFenceAndEnd() {
         loop.pass(Duration.ofSeconds(5));
         granted(SECOND, false);
         assertEquals(Map.of("FLEET_NODE", "n1", "FLEET_TASK", "stamp", "FLEET_LEASE", "nightly", "FLEET_FENCE", "7",
                 "FLEET_LONGEST_MS", "1000", "FLEET_END_MS", "6000"), environment);
     }
 
-    /** Guards the next run: one that fails is begun again in its time, and not sooner. */
+    /** A failed run must be repeated when the task is next due, not sooner. */
     @Test
-    void whatFailsIsBegunAgainInItsTime() {
+    void failedRunIsRepeatedWhenNextDue() {
         granted(SECOND, false);
         ended.get(0).accept(1);
         pass(900);
@@ -132,15 +138,18 @@
         assertEquals(List.of("begin 0", "begin 1000"), done);
     }
 
-    /** Guards a run that must not be twice: neither one that failed, nor one whose claim's answer was lost, is in its period. */
+    /**
+     * A run once per period must not be repeated in its period, neither after a failure nor if the answer to its claim
+     * was lost.
+     */
     @Test
-    void whatIsToRunOnceIsNotRunAgainInItsPeriod() {
+    void runOncePerPeriodIsNotRepeated() {
         granted(Duration.ofSeconds(4), true);
         pass(300);
-        assertEquals(List.of(), done, "nothing is begun before it is claimed");
+        assertEquals(List.of(), done, "no run starts before it is claimed");
         tasks.periodClaimed(loop.clock().now(), "stamp", 0, null);
         pass(300);
-        assertEquals(List.of(0L, 0L), claims, "what is not known is asked for again");
+        assertEquals(List.of(0L, 0L), claims, "a claim with an unknown outcome is repeated");
         tasks.periodClaimed(loop.clock().now(), "stamp", 0, Result.of(Result.Kind.DONE, 0));
         pass(2900);
         assertEquals(List.of(), done, "it may have run");
--- a/src/test/java/rowanplank/fleet/wire/EnvelopeCodecTest.java
+++ b/src/test/java/rowanplank/fleet/wire/EnvelopeCodecTest.java
@@ -19,14 +19,17 @@
 import rowanplank.membership.GossipMessage;
 import rowanplank.membership.MemberUpdate;
 
+/** Round trips of datagrams, and the rejection of invalid ones. */
 class EnvelopeCodecTest {
-    private static final EnvelopeCodec FORM = new EnvelopeCodec("press");
+    private static final EnvelopeCodec CODEC = new EnvelopeCodec("press");
 
-    private static final List<MemberUpdate> NEWS = List.of(new MemberUpdate("n4", "10.0.0.4:7946", 1L << 60, MemberUpdate.State.SUSPECT, true, "n2"),
+    private static final List<MemberUpdate> UPDATES =
+            List.of(new MemberUpdate("n4", "10.0.0.4:7946", 1L << 60, MemberUpdate.State.SUSPECT, true, "n2"),
             new MemberUpdate("n5", "10.0.0.5:7946", 1, MemberUpdate.State.ALIVE, false, ""));
 
     static List<Envelope> envelopes() {
-        return List.of(of(new Message.VoteRequest(9, true, false, 1L << 40, 8)), of(new Message.VoteResponse(9, false, true)),
+        return List.of(of(new Message.VoteRequest(9, true, false, 1L << 40, 8)),
+                of(new Message.VoteResponse(9, false, true)),
                 of(new Message.AppendRequest(9, 5, 8, 4, 77, List.of(Entry.command(6, 9, new byte[] {1, 2, 3}),
                         Entry.voterChange(7, 9, List.of("a", "b"))))),
                 of(new Message.AppendResponse(9, 77, false, 3)),
@@ -38,8 +41,10 @@
                 of(new Ask.Poll("m1", "north")), of(new Ask.Poll("m1", "", new Ask.Service(1L << 40, 2, 3, 4, 5, 6))),
                 of(new Ask.Staff(new Command.Staff(7, Command.StaffWord.ASK, List.of("n1"), "n2", "", false, true, 9,
                         Window.parse("22:00-04:30")))),
-                of(new GossipMessage.Ping(9, NEWS)), of(new GossipMessage.Ack(1L << 40, List.of())), of(new GossipMessage.PingRequest(9, "n4", "10.0.0.4:7", NEWS)),
-                of(new GossipMessage.Nack(9, NEWS)), of(new GossipMessage.MemberListRequest("", NEWS)), of(new GossipMessage.MemberListResponse("n4", NEWS)),
+                of(new GossipMessage.Ping(9, UPDATES)), of(new GossipMessage.Ack(1L << 40, List.of())),
+                of(new GossipMessage.PingRequest(9, "n4", "10.0.0.4:7", UPDATES)),
+                of(new GossipMessage.Nack(9, UPDATES)), of(new GossipMessage.MemberListRequest("", UPDATES)),
+                of(new GossipMessage.MemberListResponse("n4", UPDATES)),
                 Envelope.of("n1", 5, 2, new Ask.Answer(44, 6, new Result(Result.Kind.HELD, 8, "n2"))));
     }
 
@@ -56,7 +61,7 @@
     }
 
     private static byte[] bytes(Envelope e) {
-        ByteBuffer written = FORM.write(e);
+        ByteBuffer written = CODEC.write(e);
         byte[] bytes = new byte[written.remaining()];
         written.get(bytes);
         return bytes;
@@ -64,23 +69,23 @@
 
     @ParameterizedTest
     @MethodSource("envelopes")
-    void whatIsWrittenIsRead(Envelope e) throws Exception {
-        assertArrayEquals(bytes(e), bytes(FORM.read(ByteBuffer.wrap(bytes(e)))));
+    void writtenDatagramsAreRead(Envelope e) throws Exception {
+        assertArrayEquals(bytes(e), bytes(CODEC.read(ByteBuffer.wrap(bytes(e)))));
         assertEquals(e.toString().replaceAll("@[0-9a-f]+", ""),
-                FORM.read(ByteBuffer.wrap(bytes(e))).toString().replaceAll("@[0-9a-f]+", ""));
+                CODEC.read(ByteBuffer.wrap(bytes(e))).toString().replaceAll("@[0-9a-f]+", ""));
     }
 
-    /** Guards against what networks do: what is cut or spoilt at any place is refused, and so is another fleet's. */
+    /** Datagrams that are truncated or corrupted at any byte, or belong to another fleet, must be rejected. */
     @ParameterizedTest
     @MethodSource("envelopes")
-    void whatIsNotWholeIsRefused(Envelope e) {
+    void incompleteDatagramsAreRejected(Envelope e) {
         byte[] bytes = bytes(e);
         for (int i = 0; i < bytes.length; i++) {
             int length = i;
-            assertThrows(MalformedException.class, () -> FORM.read(ByteBuffer.wrap(bytes, 0, length)));
-            byte[] spoilt = bytes.clone();
-            spoilt[i] ^= 32;
-            assertThrows(MalformedException.class, () -> FORM.read(ByteBuffer.wrap(spoilt)));
+            assertThrows(MalformedException.class, () -> CODEC.read(ByteBuffer.wrap(bytes, 0, length)));
+            byte[] corrupted = bytes.clone();
+            corrupted[i] ^= 32;
+            assertThrows(MalformedException.class, () -> CODEC.read(ByteBuffer.wrap(corrupted)));
         }
         assertThrows(MalformedException.class, () -> new EnvelopeCodec("other").read(ByteBuffer.wrap(bytes)));
     }
--- a/src/test/java/rowanplank/fleet/wire/LedgerCodecTest.java
+++ b/src/test/java/rowanplank/fleet/wire/LedgerCodecTest.java
@@ -18,6 +18,7 @@
 import rowanplank.ledger.Share;
 import rowanplank.ledger.Window;
 
+/** Round trips of commands and ledger snapshots in all versions. */
 class LedgerCodecTest {
     private static Ledger.Picture picture(int level, List<Ledger.Run> runs) {
         return new Ledger.Picture(90, -7, 41, level, List.of(new Ledger.Session(3, "n1", 1L << 50, 4,
@@ -25,9 +26,9 @@
                 List.of(new Ledger.Lease("nightly", 3, 41, Duration.ofSeconds(4))), runs);
     }
 
-    /** Guards a snapshot that was cut on its way or on disk, at any byte. */
+    /** A snapshot that was truncated at any byte must be rejected. */
     @Test
-    void aCutPictureIsRefused() throws Exception {
+    void truncatedSnapshotIsRejected() throws Exception {
         byte[] whole = LedgerCodec.snapshot(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))));
         assertEquals(picture(2, List.of(new Ledger.Run("stamp", 20_000, 41))), LedgerCodec.snapshot(whole));
         for (int length = 1; length < whole.length; length++) {
@@ -36,9 +37,9 @@
         }
     }
 
-    /** Guards versions side by side: what an older build understood is written as it understands it. */
+    /** What an older version can express must be written in that version, and newer content must be rejected by it. */
     @Test
-    void anOlderBuildReadsWhatItKnowsAndRefusesTheRest() throws Exception {
+    void olderVersionsRejectNewerContent() throws Exception {
         assertEquals(1, LedgerCodec.snapshot(picture(1, List.of()))[0]);
         assertEquals(picture(1, List.of()), LedgerCodec.snapshot(LedgerCodec.snapshot(picture(1, List.of()))));
         Command known = new Command.Acquire(3, 1, 5, "nightly", Duration.ofSeconds(4));
@@ -47,14 +48,18 @@
         assertEquals(claim, LedgerCodec.command(LedgerCodec.command(claim), 2));
         MalformedException told = assertThrows(MalformedException.class,
                 () -> LedgerCodec.command(LedgerCodec.command(claim), 1));
-        assertEquals("version 2, and this one knows 1 to 1", told.getMessage());
+        assertEquals("unsupported version 2, supported are 1 to 1", told.getMessage());
     }
 
-    /** Budgets, as they came with version 3: whole there and back, cut at every byte refused, and kept from older builds. */
+    /**
+     * Budgets came with version 3: they must survive a round trip, be rejected if truncated at any byte, and be
+     * rejected by older versions.
+     */
     @Test
-    void budgetsAreWrittenForThoseThatKnowThem() throws Exception {
+    void budgetsNeedVersionThree() throws Exception {
         Share some = new Share(9000, 2500);
-        Budgets.Picture budgets = new Budgets.Picture(7, List.of(new Budgets.Whole("starts", true, some, some, Share.NONE, 3)),
+        Budgets.Picture budgets = new Budgets.Picture(7,
+                List.of(new Budgets.Whole("starts", true, some, some, Share.NONE, 3)),
                 List.of(new Budgets.Member(3, 77, Duration.ofSeconds(1), Duration.ofMillis(400))),
                 List.of(new Budgets.Part("starts", 3, some, Share.NONE, 7)));
         Ledger.Picture p = new Ledger.Picture(90, -7, 41, 3, List.of(new Ledger.Session(3, "n1", -50, 4, Map.of())),
@@ -65,7 +70,8 @@
             byte[] cut = Arrays.copyOf(whole, length);
             assertThrows(MalformedException.class, () -> LedgerCodec.snapshot(cut), length + " bytes");
         }
-        for (Command c : List.of(new Command.Define("starts", true, some, Share.NONE, 3), new Command.Resize("starts", some),
+        for (Command c : List.of(new Command.Define("starts", true, some, Share.NONE, 3),
+                new Command.Resize("starts", some),
                 new Command.Join(3, 1, 5, Duration.ofSeconds(1), Duration.ofMillis(400)),
                 new Command.Divide(List.of(new Command.Target("starts", 3, some))),
                 new Command.Give(3, 1, 5, 77, "starts", some), new Command.Leave(3, 1, 5),
@@ -75,9 +81,9 @@
         }
     }
 
-    /** Guards a voter that comes back: a ledger whose picture is longer than a snapshot may be would never reach it. */
+    /** The fullest ledger must fit a Raft snapshot, or a returning voter could never be caught up. */
     @Test
-    void theFullestLedgerFitsASnapshot() {
+    void fullestLedgerFitsASnapshot() {
         Ledger ledger = new Ledger(Ledger.Picture.empty());
         long index = 0;
         String longest = "x".repeat(60);
@@ -85,7 +91,8 @@
             ledger.apply(++index, new Command.Open(longest + s, Long.MIN_VALUE + s));
         }
         for (int l = 0; l < Ledger.MOST_LEASES; l++) {
-            ledger.apply(++index, new Command.Acquire(1 + l / 63, 1, 1L << 40 | l, longest + l % 10_000, Duration.ofHours(24)));
+            ledger.apply(++index, new Command.Acquire(1 + l / 63, 1, 1L << 40 | l, longest + l % 10_000,
+                    Duration.ofHours(24)));
         }
         for (int s = 1; s <= Ledger.MOST_SESSIONS; s++) {
             for (int r = 0; r < Ledger.MOST_RESULTS; r++) {
@@ -97,10 +104,14 @@
         assertTrue(bytes < RaftNode.MAX_SNAPSHOT_BYTES, bytes + " bytes");
     }
 
-    /** The order of work came with version 4, its windows, halts and forget with 5: each reads what it knows, and refuses the rest. */
+    /**
+     * Maintenance plans came with version 4, their time windows, halts and the forget command with version 5; each
+     * version must read what it knows and reject the rest.
+     */
     @Test
-    void anOrderOfWorkIsWrittenForThoseThatKnowIt() throws Exception {
-        Command.Staff plain = new Command.Staff(7, Command.StaffWord.ASK, List.of("n1"), "n2", "kernel", false, true, 60_000);
+    void maintenancePlansNeedVersionsFourAndFive() throws Exception {
+        Command.Staff plain = new Command.Staff(7, Command.StaffWord.ASK, List.of("n1"), "n2", "kernel", false, true,
+                60_000);
         Command.Staff night = new Command.Staff(8, Command.StaffWord.ASK, List.of("n1"), "n2", "", true, false, 9,
                 Window.parse("22:00-04:30"));
         Command.Staff forget = new Command.Staff(9, Command.StaffWord.FORGET, List.of("n1"), "n2", "", false, false, 0);
--- a/src/test/java/rowanplank/fleet/wire/VoterFileCodecTest.java
+++ b/src/test/java/rowanplank/fleet/wire/VoterFileCodecTest.java
@@ -14,11 +14,12 @@
 import rowanplank.agreement.Write;
 import rowanplank.fleet.wire.BinaryReader.MalformedException;
 
+/** Round trips of a voter's state file, and the rejection of damaged ones. */
 class VoterFileCodecTest {
     private static final List<String> VOTERS = List.of("n1", "n2", "n3");
     private int lastRecord;
 
-    /** A file with a vote, and entries of which the second is written over. */
+    /** A file with a vote, and entries of which the second is overwritten. */
     private byte[] file() {
         VoterFileCodec.Encoded w = VoterFileCodec.create("press", "n1", VOTERS);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void whatWasWrittenIsRead() throws Exception {
+    void writtenFileIsRead() throws Exception {
         VoterFileCodec.FileContent read = VoterFileCodec.read(file(), "press", "n1");
         assertEquals(3, read.saved().term());
         assertEquals("n2", read.saved().vote());
@@ -42,19 +43,19 @@
         assertEquals(VOTERS, read.saved().snapshot().voters());
     }
 
-    /** Guards a voter's memory: it must not come up having forgotten what it has told. */
+    /** Damage of any bit must be found: a voter must not start without what it has acknowledged. */
     @Test
-    void eachBitThatIsAnotherOneIsFound() {
+    void everyFlippedBitIsFound() {
         byte[] file = file();
         for (int bit = 0; bit < file.length * 8; bit++) {
-            byte[] spoilt = file.clone();
-            spoilt[bit / 8] ^= (byte) (1 << bit % 8);
-            assertThrows(MalformedException.class, () -> VoterFileCodec.read(spoilt, "press", "n1"), "bit " + bit);
+            byte[] corrupted = file.clone();
+            corrupted[bit / 8] ^= (byte) (1 << bit % 8);
+            assertThrows(MalformedException.class, () -> VoterFileCodec.read(corrupted, "press", "n1"), "bit " + bit);
         }
     }
 
     @Test
-    void aRecordThatWasBrokenOffIsCut() throws Exception {
+    void tornRecordIsCutOff() throws Exception {
         byte[] file = file();
         for (int length = lastRecord; length < file.length; length++) {
             VoterFileCodec.FileContent read = VoterFileCodec.read(Arrays.copyOf(file, length), "press", "n1");
@@ -63,22 +64,28 @@
         }
     }
 
-    /** Guards a file that was put in place of another: without its snapshot a voter would begin as one that knows nothing. */
+    /**
+     * A truncated file with a snapshot must be rejected; without the snapshot the voter would start as if it knew
+     * nothing.
+     */
     @Test
-    void aSnapshotThatIsCutIsRefused() throws Exception {
+    void truncatedSnapshotIsRejected() throws Exception {
         Snapshot snapshot = new Snapshot(900, 7, VOTERS, new byte[3000]);
-        byte[] whole = VoterFileCodec.replacement("press", "n1", new Write.FullState(new PersistentState(8, "n2", snapshot,
+        byte[] complete = VoterFileCodec.replacement("press", "n1",
+                new Write.FullState(new PersistentState(8, "n2", snapshot,
                 List.of(Entry.command(901, 8, new byte[500]))))).bytes();
-        assertEquals(900, VoterFileCodec.read(whole, "press", "n1").saved().snapshot().index());
-        for (int length = 0; length < whole.length; length += 10) {
-            byte[] cut = Arrays.copyOf(whole, length);
-            assertThrows(MalformedException.class, () -> VoterFileCodec.read(cut, "press", "n1"), length + " bytes");
+        assertEquals(900, VoterFileCodec.read(complete, "press", "n1").saved().snapshot().index());
+        for (int length = 0; length < complete.length; length += 10) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            assertThrows(MalformedException.class, () -> VoterFileCodec.read(truncated, "press", "n1"), length
+                    + " bytes");
         }
     }
 
     @Test
-    void anothersFileIsRefused() {
-        String line = assertThrows(MalformedException.class, () -> VoterFileCodec.read(file(), "press", "n2")).getMessage();
+    void fileOfAnotherNodeIsRejected() {
+        String line = assertThrows(MalformedException.class, () -> VoterFileCodec.read(file(), "press", "n2"))
+                .getMessage();
         assertTrue(line.contains("n1"), line);
         assertThrows(MalformedException.class, () -> VoterFileCodec.read(file(), "other", "n1"));
         assertThrows(MalformedException.class, () -> VoterFileCodec.read(new byte[0], "press", "n1"));
