--- a/src/main/java/routerfleet/control/EvacuationService.java
+++ b/src/main/java/routerfleet/control/EvacuationService.java
@@ -179,7 +179,8 @@
 
     /** Handles a command that another node forwarded to this one as the leader. */
     void receiveForwarded(PeerLink link, PeerMessage.EvacuationRequest request) {
-        group.submitEvacuation(request.order(), outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
+        group.submitEvacuation(request.order(),
+                outcome -> link.send(new PeerMessage.EvacuationReply(request.id(), outcome)));
     }
 
     /** Handles the leader's reply: a call whose command was not accepted is tried again. */
--- a/src/main/java/routerfleet/wire/EarlierRecords.java
+++ b/src/main/java/routerfleet/wire/EarlierRecords.java
@@ -40,8 +40,9 @@
         kryo.setReferences(false);
         ImmutableCollectionsSerializers.registerSerializers(kryo);
         for (Class<?> type : new Class<?>[] {byte[].class, ArrayList.class, HashMap.class, TreeMap.class,
-                LinkedHashMap.class, Entry.class, Message.VoteRequest.class, Message.VoteResponse.class, Message.AppendRequest.class,
-                Message.AppendResponse.class, Message.SnapshotChunk.class, Message.SnapshotChunkResponse.class, Message.TimeoutNow.class,
+                LinkedHashMap.class, Entry.class, Message.VoteRequest.class, Message.VoteResponse.class,
+                Message.AppendRequest.class, Message.AppendResponse.class, Message.SnapshotChunk.class,
+                Message.SnapshotChunkResponse.class, Message.TimeoutNow.class,
                 ConfigOrder.Kind.class, ConfigOrder.class, ConfigStore.EarlierState.class, SessionRecord.Phase.class,
                 SessionRecord.class, SessionView.class, PeerMessage.QuotaVerdict.class, FleetConfiguration.class,
                 RouteConfig.class, RouteConfig.WeightedBackend.class, BackendConfig.class, BackendConfig.Engine.class,
--- a/src/main/java/routerfleet/wire/ReplicationForm.java
+++ b/src/main/java/routerfleet/wire/ReplicationForm.java
@@ -89,8 +89,9 @@
             case APPEND -> readAppend(in, term);
             case APPEND_REPLY -> new Message.AppendResponse(term, in.readVarLong(false), in.readBoolean(),
                     in.readVarLong(false));
-            case PIECE -> new Message.SnapshotChunk(term, in.readVarLong(false), in.readVarLong(false), in.readVarLong(false),
-                    Fields.readStrings(in), in.readVarInt(true), in.readVarInt(true), Fields.readBytes(in));
+            case PIECE -> new Message.SnapshotChunk(term, in.readVarLong(false), in.readVarLong(false),
+                    in.readVarLong(false), Fields.readStrings(in), in.readVarInt(true), in.readVarInt(true),
+                    Fields.readBytes(in));
             case PIECE_REPLY -> new Message.SnapshotChunkResponse(term, in.readVarLong(false), in.readVarLong(false),
                     in.readVarInt(true));
             case TAKE_OVER -> new Message.TimeoutNow(term);
--- a/src/test/java/routerfleet/control/FaultInjector.java
+++ b/src/test/java/routerfleet/control/FaultInjector.java
@@ -224,7 +224,8 @@
     private void stop(SimulatedMachine machine) {
         if (machine.isUp() && machine.service() != null) {
             SimulatedMachine stopping = machine;
-            machine.process().execute(() -> stopping.service().prepareToStop(() -> world.after(0, () -> kill(stopping)), LEAVE_MS));
+            machine.process().execute(
+                    () -> stopping.service().prepareToStop(() -> world.after(0, () -> kill(stopping)), LEAVE_MS));
         }
     }
 
--- a/src/test/java/routerfleet/control/SessionServiceTest.java
+++ b/src/test/java/routerfleet/control/SessionServiceTest.java
@@ -32,7 +32,8 @@
     private boolean dataNodesPresent = true;
     private final ControlPeers peers = new ControlPeers("10.0.0.1", 7_001);
     private final SessionService service = new SessionService(process, table, peers,
-            holders -> holders.size() > 1 && peers.spanZones(holders, "a", 2), () -> dataNodesPresent, () -> { }, disk::add);
+            holders -> holders.size() > 1 && peers.spanZones(holders, "a", 2), () -> dataNodesPresent, () -> { },
+            disk::add);
     private final List<PeerMessage> sent = new ArrayList<>();
     private final PeerLink link = new PeerLink(codec, process, LinkTiming.CONTROL, new IgnoringListener(),
             new RecordingCarrier());
--- a/src/test/java/routerfleet/control/TallyStub.java
+++ b/src/test/java/routerfleet/control/TallyStub.java
@@ -52,7 +52,8 @@
     }
 
     private Map<String, Map<String, Long>> stateOf(SimulatedMachine machine) {
-        boolean restarted = !Integer.valueOf(machine.processStarts()).equals(lives.put(machine.ip, machine.processStarts()));
+        boolean restarted = !Integer.valueOf(machine.processStarts())
+                .equals(lives.put(machine.ip, machine.processStarts()));
         if (flaw == Flaw.KEPT_IN_MEMORY && restarted) {
             byMachine.remove(machine.ip);
         }
--- a/src/test/java/routerfleet/wire/PeerCodecTest.java
+++ b/src/test/java/routerfleet/wire/PeerCodecTest.java
@@ -46,7 +46,8 @@
     private static final List<PeerMessage> MESSAGES = List.of(
             new PeerMessage.Ping(-1), new PeerMessage.Pong(Long.MAX_VALUE),
             new PeerMessage.ControlHello("core-1", "10.0.0.1", "hall", "10.0.0.1/7", List.of("10.0.0.1", "10.0.0.2")),
-            replication(new Message.VoteRequest(7, true, false, 4, 3)), replication(new Message.VoteResponse(7, false, true)),
+            replication(new Message.VoteRequest(7, true, false, 4, 3)),
+            replication(new Message.VoteResponse(7, false, true)),
             replication(new Message.AppendRequest(7, 4, 3, 2, 99, List.of(Entry.noOp(5, 7),
                     Entry.configChange(6, 7, new VoterConfig(List.of("a", "b"), List.of("c"))),
                     Entry.command(7, 7, new byte[] {1, -2, 3})))),
