--- a/src/main/java/routerfleet/control/ReplicaStorage.java
+++ b/src/main/java/routerfleet/control/ReplicaStorage.java
@@ -191,14 +191,14 @@
             write(batch);
         } catch (IOException e) {
             if (!warned) {
-                LOG.log(System.Logger.Level.WARNING, "disk write failed, retrying: " + e.getMessage());
+                LOG.log(System.Logger.Level.WARNING, "disk refuses writes, trying again: " + e.getMessage());
             }
             warned = true;
             writer.executeAfter(RETRY_MS, () -> writeWithRetries(batch));
             return;
         }
         if (warned) {
-            LOG.log(System.Logger.Level.INFO, "disk writes succeed again");
+            LOG.log(System.Logger.Level.INFO, "disk takes writes again");
             warned = false;
         }
         loop.execute(() -> batch.forEach(queued -> queued.onStored().run()));
